--- a/crates/facts/src/check.rs
+++ b/crates/facts/src/check.rs
@@ -1,20 +1,21 @@
-//! What settings must hold for a marshal to run by them, each with its key: what is absurd would else show as a
-//! division by nothing, in mid-run.
+//! Validates start settings before a marshal runs with them. Values out of range would otherwise surface later, for
+//! example as a division by zero. Each error names the key and the expected value.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::{malformed, Facts, Result};
 
-/// The longest span that is taken, some three years: sums of two such are far from any clock's end.
+/// Longest accepted duration, 1000 days (about three years). The sum of two such durations cannot overflow a clock.
 const LONGEST: Duration = Duration::from_secs(1000 * 24 * 3600);
 
+/// Checks every field and returns the first violation.
 pub fn whole(facts: &Facts) -> Result<()> {
     let terms = &facts.terms;
     let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
     let held = |key: String, holds: bool, instead: &str| match holds {
         true => Ok(()),
-        false => malformed(format!("the start setting {key} is no use: write {instead}")),
+        false => malformed(format!("the start setting {key} is invalid: write {instead}")),
     };
     let span = |key: String, span: Duration| held(key, span <= LONGEST, "at most 1000 days, in microseconds");
     let over = |key: String, at: Duration| held(key, !at.is_zero(), "a whole number of microseconds over 0");
@@ -22,7 +23,7 @@
         let mut known = BTreeSet::new();
         for (i, name) in names.iter().enumerate() {
             let single = !name.is_empty() && known.insert(name);
-            held(format!("{list}.{i}.name"), single, "a name that no other one has")?;
+            held(format!("{list}.{i}.name"), single, "a unique, non-empty name")?;
         }
         Ok(())
     };
@@ -45,7 +46,7 @@
     }
     held("siblings".into(), (1..=100_000).contains(&terms.marshals), "the number of marshals, 1 to 100000")?;
     held("slot_no".into(), terms.marshal < terms.marshals, "a number below that of siblings")?;
-    held("zone".into(), terms.zone < facts.zones.len().max(1), "the place of one of the azs, from 0")?;
+    held("zone".into(), terms.zone < facts.zones.len().max(1), "an index into azs, from 0")?;
     held("over_share_worth".into(), terms.over_share_utility >= 0.0, "a number of 0 or more")?;
     held("bounds.most_tries".into(), limits.most_picks >= 1, "a whole number over 0")?;
     let key = |name: &str| format!("family_info.{name}");
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -1,5 +1,5 @@
-//! The start settings of the operators: one reader into [`RolloutTerms`], two forms, `path=value` lines on the bench's
-//! wire and an object in the platform's file. Keys it does not know are disregarded.
+//! Parses the operators' start settings into [`RolloutTerms`]. Two input forms are accepted: `path=value` lines, as
+//! the simulator sends them, and a JSON object, as in the platform's config file. Unknown keys are ignored.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -12,20 +12,21 @@
 use ivydrift_policy::port::*;
 use serde_json::Value;
 
-/// What a start message says, and how load reports are laid out.
+/// Parsed start settings, with the column layout of load reports.
 pub struct Facts {
     pub terms: RolloutTerms,
+    /// Column names of a load report, in order.
     pub columns: Vec<String>,
-    /// Names behind the terms' indices.
+    /// Names of methods, by the indices used in `terms`. The next three lists do the same for their kind.
     pub methods: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// How long a connection to a node may take to come up.
+    /// Timeout for establishing a connection to a node.
     pub connect: Duration,
 }
 
-/// What is wrong, in one plain sentence without its full stop.
+/// A parse or validation error: one sentence without its full stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wrong(pub String);
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Where no time for connecting is stated.
+/// Connect timeout used when the settings give none.
 const DIAL: Duration = Duration::from_millis(250);
 
 pub type Result<T> = std::result::Result<T, Wrong>;
@@ -44,10 +45,11 @@
     Err(Wrong(what.into()))
 }
 
+/// Settings flattened into a map from key path to text value.
 struct Pairs(HashMap<String, String>);
 
 impl Pairs {
-    /// Lines of `path=value`.
+    /// Parses lines of `path=value`.
     fn lines(text: &[u8]) -> Result<Self> {
         let Ok(text) = std::str::from_utf8(text) else {
             return malformed("the start settings are not UTF-8");
@@ -62,7 +64,8 @@
         Ok(Pairs(pairs))
     }
 
-    /// The same out of an object: paths joined by points, lists of plain values by commas, others by number.
+    /// Flattens a JSON object. Path segments are joined by dots, lists of scalars by commas; the elements of other
+    /// lists are numbered from 0, next to a `count`.
     fn object(value: &Value) -> Self {
         let mut pairs = HashMap::new();
         flatten(String::new(), value, &mut pairs);
@@ -72,7 +75,7 @@
     fn text(&self, key: &str) -> Result<&str> {
         match self.0.get(key) {
             Some(value) => Ok(value),
-            None => malformed(format!("the start settings lack {key}")),
+            None => malformed(format!("the start settings have no {key}")),
         }
     }
 
@@ -84,7 +87,7 @@
         }
     }
 
-    /// A whole number, also where it is written with a fraction of zero.
+    /// Reads a non-negative whole number; `3.0` is accepted.
     fn whole(&self, key: &str) -> Result<u64> {
         let value: f64 = self.number(key)?;
         if value < 0.0 || value.fract() != 0.0 {
@@ -101,6 +104,7 @@
         Ok(value)
     }
 
+    /// Reads a duration given in microseconds.
     fn span(&self, key: &str) -> Result<Duration> {
         Ok(Duration::from_micros(self.whole(key)?))
     }
@@ -109,7 +113,7 @@
         self.0.contains_key(key)
     }
 
-    /// Reads an optional key; what is absent on the wire counts as zero.
+    /// Reads an optional number; an absent key counts as zero.
     fn number_or_zero(&self, key: &str) -> Result<f64> {
         if self.has(key) {
             self.number(key)
@@ -118,6 +122,7 @@
         }
     }
 
+    /// Reads an optional boolean; an absent key counts as false.
     fn flag(&self, key: &str) -> Result<bool> {
         match self.0.get(key).map(String::as_str) {
             None => Ok(false),
@@ -127,6 +132,7 @@
         }
     }
 
+    /// Reads a comma-separated list; an absent key counts as empty.
     fn words(&self, key: &str) -> Vec<&str> {
         self.0.get(key).map_or_else(Vec::new, |v| v.split(',').filter(|w| !w.is_empty()).collect())
     }
@@ -140,6 +146,7 @@
         self.words(key).iter().map(read).collect()
     }
 
+    /// Reads the length of a numbered list; an absent list is empty.
     fn count(&self, list: &str) -> Result<usize> {
         let key = format!("{list}.count");
         if self.has(&key) {
@@ -150,6 +157,7 @@
     }
 }
 
+/// Formats a scalar; lists, objects and null have no text form.
 fn plain(value: &Value) -> Option<String> {
     match value {
         Value::Bool(b) => Some(b.to_string()),
@@ -179,18 +187,18 @@
     }
 }
 
-/// Out of the lines of the bench's start message.
+/// Reads settings from the `path=value` lines of the simulator's start message.
 ///
 /// # Errors
-/// What is wrong with them.
+/// Returns the first key that is missing, malformed or out of range.
 pub fn read(salt: u64, text: &[u8]) -> Result<Facts> {
     facts(salt, &Pairs::lines(text)?)
 }
 
-/// Out of the same as an object.
+/// Reads settings from a JSON object with the same keys.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Returns the first key that is missing, malformed or out of range.
 pub fn read_object(salt: u64, value: &Value) -> Result<Facts> {
     facts(salt, &Pairs::object(value))
 }
@@ -213,7 +221,11 @@
     let asked = match p.text("discovery")? {
         "subscribe" => true,
         "automatic" => false,
-        other => return malformed(format!("the start setting discovery is neither known mode: {other:?}")),
+        other => {
+            return malformed(format!(
+                "the start setting discovery is {other:?}: write \"subscribe\" or \"automatic\""
+            ))
+        }
     };
     let terms = RolloutTerms {
         seed: salt,
@@ -295,12 +307,12 @@
     let control = match p.text(&key("control"))? {
         "any" | "share" => Control::Votes,
         "timer" => Control::Clock,
-        other => return malformed(format!("the control of builds is unknown: {other:?}")),
+        other => return malformed(format!("the start setting family_info.control is unknown: {other:?}")),
     };
     let by_method = match p.text(&key("counts"))? {
         "all" => false,
         "class" => true,
-        other => return malformed(format!("the way exposure counts is unknown: {other:?}")),
+        other => return malformed(format!("the start setting family_info.counts is unknown: {other:?}")),
     };
     Ok(ReleaseTerms {
         control,
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -1,4 +1,4 @@
-//! The release desk's lines: words with spaces between them, ended by CRLF.
+//! The rollout controller's line protocol: words separated by single spaces, lines terminated by CRLF.
 
 #[cfg(test)]
 mod tests;
@@ -6,31 +6,30 @@
 use ivydrift_wire::desk::{Counted, Course, Stage, Sums, Verdict, Vote};
 use serde_json::Value;
 
-/// A line of this length or more ends the connection.
+/// Line length limit in bytes; a line of this length or more closes the connection.
 pub const LINE_BYTES: usize = 8 * 1024;
 
-/// Asks to be told what happens.
+/// Request that subscribes to events.
 pub const FOLLOW: &[u8] = b"follow\r\n";
 
-/// One line of the desk.
+/// One line received from the rollout controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// The answer to a vote that counts, with how things stand; without a standing, that to `follow`.
+    /// `OK`: the vote was counted, with the current rollout stage. Without a stage it acknowledges `follow`.
     Done(Option<Stage>),
-    /// A vote that does not count.
+    /// `ERR`: the vote was not counted, with the reason.
     Refused(Counted),
+    /// The rollout stage changed.
     Stage(Stage),
+    /// Sampled totals of one build and method.
     Sums(Sums),
-    /// By the member's id.
-    Disputed {
-        unit: String,
-        method: String,
-        age_ms: u64,
-    },
-    /// A sign of life.
+    /// A client disputed an answer of the member whose id is `unit`.
+    Disputed { unit: String, method: String, age_ms: u64 },
+    /// Keep-alive.
     Alive,
 }
 
+/// Formats a vote.
 pub fn vote(vote: &Vote) -> Vec<u8> {
     let verdict = match vote.verdict {
         Verdict::None => "none",
@@ -51,6 +50,7 @@
     })
 }
 
+/// Parses a finite number of 0 or more.
 fn number(word: &str) -> Option<f64> {
     word.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
@@ -62,10 +62,10 @@
     Some(Stage { build, stage, course: course(mode)?, cap, age_ms: number(age)? as u64 })
 }
 
-/// The standing as the platform's file has it.
+/// Reads the rollout stage from the platform's config file.
 ///
 /// # Errors
-/// A sentence on what is wrong.
+/// Returns a sentence that names the keys and an example.
 pub fn stage_of(news: &Value) -> Result<Stage, String> {
     const KEYS: [&str; 5] = ["release", "tranche", "mode", "exposure", "old_ms"];
     let word = |key: &str| match &news[key] {
@@ -77,12 +77,12 @@
         .ok_or_else(|| format!("write {}, as in 42, 1, \"testing\", 0.28, 310", KEYS.join(", ")))
 }
 
-/// Reads a line without its ending.
+/// Parses a line, given without its CRLF.
 ///
 /// # Errors
-/// A sentence on what cannot be read.
+/// Returns a sentence that quotes the line if it is malformed.
 pub fn line(text: &[u8]) -> Result<Line, String> {
-    let shown = || format!("a line of the desk cannot be read: {:?}", String::from_utf8_lossy(text));
+    let shown = || format!("malformed line from the rollout controller: {:?}", String::from_utf8_lossy(text));
     let Ok(plain) = std::str::from_utf8(text) else { return Err(shown()) };
     let words: Vec<&str> = plain.split(' ').collect();
     let read = match &words[..] {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' platform, the second dialect of the marshal: what its file says as [`ivydrift_terms::Terms`], its
-//! heads and answers, its list of members and the lines of its release desk. Everything here is words: no socket,
-//! no clock and no decision.
+//! Formats of the operators' platform, the marshal's second dialect: the config file (parsed into
+//! [`ivydrift_terms::Terms`]), HTTP heads and answers, the member list and the rollout controller's line protocol.
+//! Pure parsing and formatting: no sockets, clocks or decisions.
 #![forbid(unsafe_code)]
 
 pub mod desk;
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -1,4 +1,4 @@
-//! The list of members: whole or as changes since a revision.
+//! The member list (node list) of the platform: a full snapshot, or changes since a revision.
 
 #[cfg(test)]
 mod tests;
@@ -9,7 +9,7 @@
 use ivydrift_wire::list::{Listed, State};
 use serde::Deserialize;
 
-/// The longest list that is taken.
+/// Largest accepted list, in bytes.
 pub const LIST_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
@@ -41,38 +41,42 @@
     1.0
 }
 
-/// All members as last told, by their ids.
+/// The members as of the last accepted update, by id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// None before the first list; a list may have the revision 0.
+    /// None until the first snapshot. A snapshot may have revision 0.
     revision: Option<u64>,
     members: BTreeMap<String, Listed>,
 }
 
 impl Catalog {
+    /// Revision of the last accepted update; none before the first one.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// The list is asked at another place, of which `known` was told. Where that is not what we hold, revisions there
-    /// may be others: the whole list is asked for before changes. Where it is, they go on; 300 marshals that moved
-    /// at once and each asked for all kept the list from one another for 13 s.
+    /// Continues at another address of the member list, whose state was given as `known`. If `known` differs from this
+    /// catalog, the revisions may not be comparable, so the next request fetches a full snapshot. If it is equal, changes
+    /// are requested as before: 300 marshals that moved at once and each fetched a snapshot delayed one another's lists
+    /// by 13 s.
     pub fn moved(&mut self, known: &Catalog) {
         if self != known {
             self.revision = None;
         }
     }
 
+    /// All members, ordered by id.
     pub fn listed(&self) -> Vec<Listed> {
         self.members.values().cloned().collect()
     }
 
-    /// Where the member with this id is.
+    /// Address (`host:port`) of the member with this id.
     pub fn place(&self, id: &str) -> Option<String> {
         self.members.get(id).map(|m| format!("{}:{}", m.host, m.port))
     }
 
-    /// What to ask for next: changes after what is known, held up to this long, or the whole list.
+    /// Request target of the next query: changes since the known revision, held by the server for up to `hold_ms`, or a
+    /// full snapshot.
     pub fn path(&self, hold_ms: u64) -> String {
         match self.revision {
             None => "/catalog/members".to_owned(),
@@ -80,17 +84,20 @@
         }
     }
 
-    /// Takes an answer whole, or not at all.
+    /// Applies an answer atomically.
     ///
     /// # Errors
-    /// A sentence on what is wrong; then no member has changed.
+    /// Returns a sentence on what is malformed; no member has changed then.
     pub fn take(&mut self, text: &str) -> Result<(), String> {
-        let page: Page = serde_json::from_str(text).map_err(|e| format!("the list of members: {e}"))?;
+        let page: Page = serde_json::from_str(text).map_err(|e| format!("malformed member list: {e}"))?;
         if !page.complete && self.revision.is_none_or(|known| page.revision < known) {
-            // Changes since another beginning than ours, as of a list that was started anew: only a whole one helps.
+            // These changes have another base than ours, for example after a restart of the member list. Clearing the
+            // revision makes the next request fetch a full snapshot.
             let known = self.revision.take().map_or("none".to_owned(), |known| known.to_string());
             let to = page.revision;
-            return Err(format!("the list of members: changes up to revision {to} while {known} is known"));
+            return Err(format!(
+                "member list: changes up to revision {to} cannot be applied to known revision {known}"
+            ));
         }
         let mut members = if page.complete { BTreeMap::new() } else { self.members.clone() };
         for m in page.members {
--- a/crates/platform/src/rpc.rs
+++ b/crates/platform/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What an RPC carries on the platform, and what its answers say.
+//! Header fields of an RPC and of its answers in the platform's dialect.
 
 use std::time::Duration;
 
@@ -7,49 +7,57 @@
 
 use crate::start::BODY;
 
+/// Unique id of an RPC.
 pub const ID: &str = "x-request-id";
+/// Tenant of the caller.
 pub const TENANT: &str = "x-tenant-id";
+/// Time the client waits, in milliseconds.
 pub const TIMEOUT: &str = "x-timeout-ms";
+/// `1` if the client has tried before.
 pub const RETRIED: &str = "x-retried";
-/// A node's word that it turned the RPC away unseen.
+/// `1` if the node rejected the RPC without processing it.
 pub const NEVER_RAN: &str = "x-not-processed";
+/// A node's load report, see [`load`].
 pub const LOAD: &str = "x-server-load";
-/// Where the front asks whether the marshal is ready.
+/// Path of the readiness check.
 pub const HEALTH: &str = "/_health";
 
-/// The longest id taken.
+/// Longest accepted id.
 const ID_BYTES: usize = 128;
 
-/// An RPC as its head states it.
+/// An RPC as described by its request head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ask<'a> {
     pub id: &'a str,
     pub method: &'a str,
     pub tenant: Option<&'a str>,
-    /// How long the client waits, from when it sent the RPC.
+    /// How long the client waits, counted from when it sent the RPC.
     pub left: Duration,
+    /// The client says that it has tried before.
     pub repeated: bool,
 }
 
-/// The method's name: the first part of the path.
+/// Returns the method's name: the first segment of the path.
 pub fn method_of(target: &str) -> &str {
     let path = target.split(['?', '#']).next().unwrap_or("");
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-/// Whose RPC it is, and whether the client says that it tried before.
+/// Returns the tenant, and whether the client says that it has tried before.
 pub fn sender(fields: &Fields) -> (Option<&str>, bool) {
     (fields.get(TENANT), fields.get(RETRIED) == Some("1"))
 }
 
+/// Whether the request is a readiness check.
 pub fn asks_health(request: &Request) -> bool {
     request.verb == "GET" && request.target == HEALTH
 }
 
-/// Reads an RPC's head. `safe`: whether its method may run again, none where there is no such method.
+/// Validates an RPC's request head. `safe` says whether its method may run more than once; none for an unknown method.
 ///
 /// # Errors
-/// Why it is no RPC of the platform: nothing of it may reach a node.
+/// Returns the HTTP status and reason for a head that does not follow the platform's protocol. Such a request must not
+/// be forwarded to a node.
 pub fn read<'a>(request: &'a Request, safe: Option<bool>) -> Result<Ask<'a>, Refusal> {
     let refuse = |status, why| Err(Refusal { status, why });
     let single = |name| {
@@ -66,28 +74,30 @@
         return refuse(400, "there must be one X-Timeout-Ms, a whole number over 0, as in 480");
     };
     match safe {
-        None => return refuse(404, "no such class: the first part of the path names it"),
+        None => return refuse(404, "unknown class: the first segment of the path must name one"),
         Some(true) if request.verb != "GET" => return refuse(405, "this class uses GET"),
         Some(false) if request.verb != "POST" => return refuse(405, "this class uses POST"),
-        Some(true) if request.framing != Framing::Length(0) => return refuse(400, "a GET has no body here"),
+        Some(true) if request.framing != Framing::Length(0) => {
+            return refuse(400, "a GET must not have a body")
+        }
         Some(_) => {}
     }
     let (tenant, repeated) = sender(&request.fields);
     Ok(Ask { id, method: method_of(&request.target), tenant, left, repeated })
 }
 
-/// A node's answer as status, its word that the RPC never ran, and its load report.
+/// Interprets a node's response head: status, whether the node says that it did not process the RPC, and load report.
 pub fn heard(head: &Response) -> (u16, bool, Metrics) {
     let load = head.fields.get(LOAD).map(load).unwrap_or_default();
     match head.status {
         503 | 504 if head.fields.get(NEVER_RAN) == Some("1") => (503, true, load),
         200 => (200, false, load),
-        // Nothing else is served here, whatever it means elsewhere.
+        // The platform defines no other status; anything else counts as an error.
         _ => (500, false, load),
     }
 }
 
-/// An answer whose end cannot be told, or that is longer than any of the platform's, is spoilt.
+/// Whether an answer is unusable: delimited only by the close of the connection, or longer than [`BODY`].
 pub fn spoilt(framing: Framing) -> bool {
     match framing {
         Framing::Length(n) => n > BODY as u64,
@@ -96,7 +106,7 @@
     }
 }
 
-/// A load report, as in `inflight=7,queue=2,util=0.61`. What cannot be read says nothing.
+/// Parses a load report such as `inflight=7,queue=2,util=0.61`. Malformed and unknown entries are ignored.
 pub fn load(text: &str) -> Metrics {
     let mut load = Metrics::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
@@ -114,12 +124,12 @@
     load
 }
 
-/// How long the marshal waits, on the way to a node.
+/// Formats the timeout sent to a node: whole milliseconds, at least 1.
 pub fn timeout(within: Duration) -> String {
     within.as_millis().max(1).to_string()
 }
 
-/// A refusal: trying again is harmless.
+/// Builds the head of a pushed-back answer, which tells the client that a retry is harmless.
 pub fn push_back(retry_after: Option<Duration>) -> HeadWriter {
     let head = HeadWriter::response(503);
     match retry_after.filter(|wait| !wait.is_zero()) {
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -1,4 +1,4 @@
-//! The file that a marshal is started with, `LB_CONFIG`, and read again at each SIGHUP.
+//! The platform's config file, named by `LB_CONFIG`. A marshal reads it at start and again on each SIGHUP.
 
 #[cfg(test)]
 mod tests;
@@ -13,27 +13,27 @@
 
 use crate::{desk, members};
 
-/// The longest body that the platform's messages have.
+/// Longest body of the platform's messages, in bytes.
 pub const BODY: usize = 64 * 1024;
 
-/// The variable that names the file.
+/// Environment variable that names the file.
 pub const FILE: &str = "LB_CONFIG";
 
-/// When the operators count as told what discovery has to tell.
+/// The operators count a change of the node list as delivered after these times, whether or not it has arrived.
 const LIST_LEASE: ListLeaseTerms =
     ListLeaseTerms { told_within: Duration::from_secs(6), told_after_reload: Duration::from_secs(4) };
 
-/// A start: the terms, and what the platform last knew of members and the newest build.
+/// Contents of the config file: the config, the last known member list and the newest build's rollout stage.
 pub struct Start {
     pub terms: Terms,
     pub known: members::Catalog,
     pub news: Option<Stage>,
 }
 
-/// Reads the file's text; `file` is named in complaints.
+/// Parses the file's text. `file` is the name used in error messages.
 ///
 /// # Errors
-/// What is wrong, with the file, the line or key, and what to write instead.
+/// Returns the first error, with the file, the line or key, and what to write instead.
 pub fn read(file: &str, text: &str) -> Result<Start, String> {
     let top: Value = serde_json::from_str(text).map_err(|e| {
         format!("{file}:{}:{}: this is not JSON ({e}): write one object", e.line(), e.column())
@@ -73,17 +73,18 @@
         news => Some(desk::stage_of(news).map_err(|why| format!("{file}: pipeline.news: {why}"))?),
     };
     let Facts { terms: mut rollout, methods, tenants, zones, kinds, connect, .. } = facts;
-    // Marshals of the platform have no way to one another here.
+    // The platform offers no channel between marshals.
     rollout.limits.peers = false;
-    // Nor does discovery come to them: whatever the settings say of the simulator, here it is asked over HTTP.
+    // Discovery does not push node lists either: `discovery` in the settings concerns the simulator, here the list is
+    // always polled over HTTP.
     rollout.ask_discovery = true;
     rollout.rules.list_lease = Some(LIST_LEASE);
     let bounds = Bounds::by_descriptors(sockets as usize, BODY, connect);
     let regions = vec![0; zones.len()];
     let (methods, tenants) = (methods.iter().collect(), tenants.iter().collect());
-    // One service: methods name none.
+    // The platform has a single service, so methods name none.
     let (serves, services) = (vec![], Default::default());
-    // Its list is taken whole.
+    // All nodes of the list are used.
     let subset = None;
     let terms =
         Terms { places, bounds, subset, rollout, methods, serves, services, tenants, zones, regions, kinds };
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a marshal is told at its start: an HCL file, checked whole, into [`Terms`]. The example that is known
-//! to be right is [`EXAMPLE`]; `docs/operators.md` explains each key.
+//! The marshal's config: parses an HCL file into [`Terms`] and reports all its errors at once. [`EXAMPLE`] is a valid
+//! file; `docs/operators.md` explains each key.
 #![forbid(unsafe_code)]
 
 #[cfg(test)]
@@ -19,69 +19,73 @@
 use sheet::{Complaints, Page, Sheet};
 pub use subset::SubsetTerms;
 
-/// Terms for a first marshal beside the stand-ins' default addresses.
+/// An example config: a single marshal that uses the default addresses of the simulated services.
 pub const EXAMPLE: &str = include_str!("../example.hcl");
 
-/// Where the shell listens and whom it asks.
+/// Network addresses that the marshal listens on or connects to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Places {
-    /// Clients' RPCs.
+    /// Listens here for clients' RPCs.
     pub listen: SocketAddr,
-    /// The node list and the service's name in it.
+    /// The node list (discovery).
     pub node_list: SocketAddr,
+    /// Name of the service in the node list.
     pub service: String,
+    /// The rollout controller.
     pub release_desk: SocketAddr,
-    /// Peers' datagrams, by marshal number; ours is among them. Empty where marshals share nothing.
+    /// UDP addresses of all marshals by number, this one included. Empty if marshals do not exchange data.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Bounds of the shell: what it holds, and how long it waits for slow sockets.
+/// Limits on connections, memory and socket waits of the marshal's I/O layer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Client connections at once; more are closed at once.
+    /// Concurrent client connections; further ones are closed on arrival.
     pub clients: usize,
-    /// With so many client connections answers end them, and who rests makes room for who comes.
+    /// From this number of client connections on, each is closed after its answer, and idle ones are closed in favour of
+    /// new ones.
     pub crowd: usize,
-    /// Descriptors that the process may have, where clients make room for one another by it.
+    /// File descriptors the process may use. If set, idle clients are also closed to stay below it.
     pub descriptors: Option<usize>,
-    /// A body up to this is held, so that the RPC can be sent again; a longer one passes as it comes, once.
+    /// Bodies of up to this many bytes are buffered so that the RPC can be retried. A longer body is streamed to the
+    /// node, so the RPC is sent only once.
     pub body: usize,
-    /// The longest body of an RPC.
+    /// Longest accepted body of an RPC, in bytes.
     pub longest_body: u64,
-    /// Handshakes a second that the fleet of marshals takes without harm, if this one's clients all come back.
+    /// Handshakes per second that the marshals together can absorb when all clients of this one reconnect.
     pub handshakes: usize,
-    /// A client that has begun a message must end it within this.
+    /// Time a client has to complete a message that it has begun.
     pub slow_client: Duration,
-    /// Idle client connections are closed after this.
+    /// Idle client connections are closed after this time.
     pub idle_client: Duration,
-    /// A new client must have sent its first message whole within this, where that is asked of it.
+    /// Time a new client has to send its first message completely; none: no such limit.
     pub first_message: Option<Duration>,
-    /// A connection to a node rests this long before it is used again: a node that answers twice may do so late, and its
-    /// second answer would be read as that to the next RPC. Costs a connection more for each RPC within the time.
+    /// Minimum idle time before a connection to a node is reused. A faulty node may send a second, late answer, which
+    /// would be taken as the answer to the next RPC. Costs one more connection for each RPC within this time.
     pub settle: Duration,
-    /// Questions to the node list may be held for this long.
+    /// How long the server may hold a blocking query.
     pub list_hold: Duration,
-    /// Without any node it says after this time that it is ready, where it is asked: it then pushes back, and whoever
-    /// waits for it goes on.
+    /// After this time the readiness check succeeds even without any node, so that a start-up that waits for the marshal
+    /// can proceed; RPCs are pushed back until nodes are known.
     pub ready_latest: Option<Duration>,
-    /// Clients may still come for this long after the order to stop.
+    /// New clients are still accepted for this long after a stop was requested.
     pub linger: Duration,
-    /// A connection to a node must stand within this.
+    /// Timeout for establishing a connection to a node.
     pub connect: Duration,
-    /// Idle connections kept to one node.
+    /// Idle connections kept per node.
     pub idle_to_node: usize,
     /// Idle connections kept to all nodes together.
     pub idle_to_nodes: usize,
-    /// A final answer is on its way this long before the client's time is up.
+    /// The final answer is sent this long before the client's deadline.
     pub reserve: Duration,
     /// Threads that run coroutines.
     pub workers: usize,
 }
 
 impl Bounds {
-    /// What so many descriptors leave the shell, where nothing else is told. They go to clients as far as RPCs in hand,
-    /// which may need one more each, and idle connections to nodes leave them. Clients that ask once and stay would
-    /// use up what they may hold, a third, and keep the next from coming: a crowd begins before that.
+    /// Default limits for a process with `descriptors` file descriptors. Clients may use those that are not needed by
+    /// RPCs in progress (up to one more each, to a node) and idle connections to nodes. Clients that send one RPC and
+    /// stay connected could fill a third of the descriptors and block new clients, so `crowd` is a quarter.
     pub fn by_descriptors(descriptors: usize, body: usize, connect: Duration) -> Bounds {
         Bounds {
             clients: descriptors,
@@ -106,37 +110,40 @@
     }
 }
 
+/// The parsed and validated config of one marshal.
 #[derive(Clone, Debug)]
 pub struct Terms {
     pub places: Places,
     pub bounds: Bounds,
-    /// None: all nodes of a list are taken.
+    /// None: all listed nodes are used.
     pub subset: Option<SubsetTerms>,
     pub rollout: RolloutTerms,
-    /// Names behind the policy's indices.
+    /// Names of methods, by the indices used in the policy. `tenants`, `zones` and `kinds` do the same for their kind.
     pub methods: Names,
-    /// The service of each method; of [`Places::service`] where there is none.
+    /// The service of each method. Methods without an entry belong to [`Places::service`].
     pub serves: Vec<Arc<str>>,
     pub services: services::ServicesTerms,
     pub tenants: Names,
     pub zones: Vec<String>,
-    /// The region of each zone.
+    /// Region index of each zone.
     pub regions: Vec<usize>,
     pub kinds: Vec<String>,
 }
 
-/// How far apart two zones are.
+/// Network distance between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
+    /// The same zone.
     Here,
-    /// Another zone of the region.
+    /// Another zone of the same region.
     Near,
     /// Another region.
     Far,
 }
 
 impl Terms {
-    /// How far apart two zones are, by their places in [`Terms::zones`]. What the terms do not name is far from all.
+    /// Returns the distance between two zones, given as indices into [`Terms::zones`]. An index that is not in the config
+    /// is far from all others.
     pub fn distance(&self, a: usize, b: usize) -> Distance {
         match (self.regions.get(a), self.regions.get(b)) {
             _ if a == b => Distance::Here,
@@ -146,10 +153,10 @@
     }
 }
 
-/// Reads terms; `file` is named in complaints.
+/// Parses a config. `file` is the name used in error messages.
 ///
 /// # Errors
-/// All that is wrong with the text, each with file, line, column and what to write instead.
+/// Returns all errors of the text, each with file, line, column and what to write instead.
 pub fn read(file: &str, text: &str) -> Result<Terms, Complaints> {
     Page::new(file, text).read(terms)
 }
@@ -258,7 +265,7 @@
         marshal,
         marshals,
         zone,
-        // A blocking query is a subscription that can break: the policy decides when to ask again.
+        // A blocking query is a subscription that can fail, so the policy decides when to query again.
         ask_discovery: true,
         methods: method_terms,
         tenants: tenant_terms,
@@ -273,7 +280,8 @@
     Terms { places, bounds, subset, rollout, methods, serves, services, tenants, zones, regions, kinds }
 }
 
-/// The region of each zone: as the blocks `region "north" { zones = [...] }` say, all in one where there are none.
+/// Reads the blocks `region "north" { zones = [...] }` into the region index of each zone. Without any such block all
+/// zones are in one region.
 fn regions(top: &Sheet, zones: &[String]) -> Vec<usize> {
     let named = top.labelled("region", |name, s| (name.to_owned(), s.texts("zones", None)));
     let mut of: Vec<Option<usize>> = vec![None; zones.len()];
@@ -282,9 +290,8 @@
             match zones.iter().position(|z| z == zone) {
                 Some(at) if of[at].is_none() => of[at] = Some(region),
                 Some(_) => {
-                    let what = format!(
-                        "zone {zone:?} stands in two regions, {name:?} is the second: write it in one"
-                    );
+                    let what =
+                        format!("zone {zone:?} is in two regions, {name:?} is the second: list it in one");
                     top.complain(Some("zones"), what);
                 }
                 None => {
@@ -301,14 +308,14 @@
         let left: Vec<&str> =
             zones.iter().zip(&of).filter(|(_, r)| r.is_none()).map(|(z, _)| &z[..]).collect();
         if !left.is_empty() {
-            let what = format!("no region has zone {}: write each zone in one region", left.join(", "));
+            let what = format!("no region contains zone {}: list each zone in one region", left.join(", "));
             top.complain(Some("zones"), what);
         }
     }
     of.into_iter().map(|r| r.unwrap_or(0)).collect()
 }
 
-/// The block on the rules' figures.
+/// Reads the block `rules`.
 pub fn rules(s: &Sheet) -> RuleTerms {
     RuleTerms {
         drain_grace: s.span("drain_grace", Some(Duration::from_secs(1))),
@@ -321,6 +328,7 @@
     }
 }
 
+/// Values of the key `repeat`: whether a method may run more than once.
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
     Idempotent,
@@ -328,7 +336,7 @@
     NonIdempotent,
 }
 
-/// A method's block.
+/// Reads a `method` block.
 pub fn method(s: &Sheet) -> MethodTerms {
     let kinds = [
         ("idempotent", Kind::Idempotent),
@@ -351,7 +359,7 @@
         s.complain(Some("soft_deadline"), "soft_deadline is after deadline: write at most the deadline");
     }
     if soft_deadline.is_zero() && s.has("soft_deadline") {
-        s.complain(Some("soft_deadline"), "soft_deadline is nothing: write a span over 0");
+        s.complain(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
     }
     MethodTerms {
         repeat,
@@ -364,13 +372,13 @@
     }
 }
 
-/// The block on releases.
+/// Reads the block `release`. The default vote counts depend on the number of marshals.
 pub fn release(s: &Sheet, marshals: usize) -> ReleaseTerms {
     let shares = s.numbers("shares", Some(vec![0.1, 0.35, 1.0]), 0.0..=1.0);
     let caps = s.numbers("caps", Some(vec![0.14, 0.49, 1.0]), 0.0..=1.0);
     if shares.len() != caps.len() || shares.is_empty() {
         let what = format!(
-            "caps has {} stages and shares {}: write one of each for every stage",
+            "caps has {} stages and shares has {}: write one of each for every stage",
             caps.len(),
             shares.len()
         );
--- a/crates/terms/src/names.rs
+++ b/crates/terms/src/names.rs
@@ -1,4 +1,4 @@
-//! Names by index, and indices by name.
+//! An immutable list of names with lookup in both directions: index to name and name to index.
 
 #[cfg(test)]
 mod tests;
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Names in one piece of text, each by its index, and the order in which they are found by halving: 12 bytes a name
-/// beside its letters, and no choice of names makes a lookup longer. Clones share all of it.
+/// Names stored in one string, with a sorted index for binary search: 12 bytes per name besides its text, and no
+/// choice of names can degrade lookups. Clones share the data.
 #[derive(Clone, Default)]
 pub struct Names(Arc<Held>);
 
 #[derive(Default)]
 struct Held {
     text: String,
-    /// Where each name ends in the text.
+    /// End offset of each name in `text`.
     ends: Vec<usize>,
-    /// Indices by name, equal ones by index; no file names four billion.
+    /// Indices sorted by name, equal names by index. `u32` suffices: no config has four billion names.
     order: Vec<u32>,
 }
 
@@ -51,14 +51,15 @@
         (0..self.len()).map(|at| self.0.get(at))
     }
 
-    /// The index of a name; the first, where it stands twice.
+    /// Returns the index of a name, the lowest one if it occurs several times.
     pub fn find(&self, name: &str) -> Option<usize> {
         let order = &self.0.order;
         let at = order.partition_point(|&i| compare(self.0.get(i as usize), name).is_lt());
         order.get(at).map(|&i| i as usize).filter(|&i| self.0.get(i) == name)
     }
 
-    /// These names, then those of `more` that are not among them, and the index of each of `more`.
+    /// Appends the names of `more` that are not in this list. Returns the merged list and the index in it of each name of
+    /// `more`.
     pub fn with(&self, more: &Names) -> (Names, Vec<usize>) {
         let mut fresh = Vec::new();
         let mut places: Vec<usize> = Vec::with_capacity(more.len());
--- a/crates/terms/src/services.rs
+++ b/crates/terms/src/services.rs
@@ -1,20 +1,23 @@
-//! Terms on many services in one marshal: whose method is whose, and how many are held at once.
+//! Config of a marshal that serves several services: the service of each method, and limits on the services loaded at
+//! once.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::sheet::Sheet;
 
-/// A name stands in the path and the query of what list and desk are asked.
+/// Maximum length of a service name, which is part of the path and query of requests to the node list and the rollout
+/// controller.
 const NAME: usize = 100;
 
-/// Bounds on the services that are held beside [`crate::Places::service`].
+/// Limits on the services loaded in addition to [`crate::Places::service`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServicesTerms {
+    /// Services loaded at once.
     pub most: usize,
-    /// One that no RPC comes for is dropped after this.
+    /// A service without RPCs is unloaded after this time.
     pub rest: Duration,
-    /// Reckoned bytes of all of them.
+    /// Estimated memory of all of them together, in bytes.
     pub bytes: usize,
 }
 
@@ -24,7 +27,7 @@
     }
 }
 
-/// The service that a method's block names, or the one of `places`.
+/// Reads the service that a `method` block names; `home`, the service of `places`, if it names none.
 pub fn of(method: &Sheet, home: &str) -> Arc<str> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let read = |name: &str| {
@@ -35,12 +38,12 @@
     method.parsed("service", Some(home.into()), form, read).unwrap_or_else(|| home.into())
 }
 
-/// The block `services`, and whether `places.service` has a method.
+/// Reads the block `services`, and checks that the service of `places` (`home`) has at least one method.
 pub fn read(top: &Sheet, home: &str, serves: &[Arc<str>]) -> ServicesTerms {
     if !serves.is_empty() && serves.iter().all(|name| **name != *home) {
         let what = format!(
-            "no method is of places.service {home:?}: leave `service` out of at least one method, or name in places.service \
-             one that has a method"
+            "no method belongs to places.service {home:?}: leave `service` out of at least one method, or write a service \
+             that has a method as places.service"
         );
         top.complain(None, what);
     }
@@ -48,7 +51,7 @@
     top.block("services", |s| {
         let rest = s.span("rest", Some(usual.rest));
         if rest < Duration::from_secs(1) && s.has("rest") {
-            s.complain(Some("rest"), "rest is under a second: write a span of \"1s\" or more");
+            s.complain(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
         }
         ServicesTerms {
             most: s.whole("most", Some(usual.most as u64), 1..=10_000) as usize,
--- a/crates/terms/src/sheet.rs
+++ b/crates/terms/src/sheet.rs
@@ -1,5 +1,5 @@
-//! Reads an HCL file key by key and gathers every complaint with its place, so that one run of the check shows
-//! all that is wrong. `hcl-edit` is the parser under hcl-rs; it keeps spans, which serde's errors lose.
+//! Reads an HCL file key by key and collects every error with its position, so that one run of the check reports all of
+//! them. Uses `hcl-edit`, the parser below hcl-rs, because it keeps source spans, which errors from serde lack.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use hcl_edit::structure::{Attribute, Block, BlockLabel, Body};
 use hcl_edit::Span;
 
-/// One thing that is wrong, and what to write instead.
+/// One error in a file, with its position. `what` says what is wrong and what to write instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Complaint {
     pub file: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// All complaints of one file, a line each.
+/// All errors of one file. `Display` writes one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Complaints(pub Vec<Complaint>);
 
@@ -39,7 +39,7 @@
 
 impl std::error::Error for Complaints {}
 
-/// A file's text with what was found wrong in it so far.
+/// The text of a file, with the errors found in it so far.
 pub struct Page {
     name: String,
     text: String,
@@ -51,16 +51,16 @@
         Page { name: name.to_owned(), text: text.to_owned(), found: RefCell::default() }
     }
 
-    /// Reads the file with `read` and hands on its result if nothing at all was wrong.
+    /// Parses the file with `read` and returns its result if there were no errors.
     ///
     /// # Errors
-    /// Every complaint, in the order of the file.
+    /// Returns every error, in the order of the file.
     pub fn read<T>(&self, read: impl FnOnce(&Sheet) -> T) -> Result<T, Complaints> {
         let body: Body = match hcl_edit::parser::parse_body(&self.text) {
             Ok(body) => body,
             Err(e) => {
                 let at = e.location();
-                let what = format!("not HCL here: {}", e.message());
+                let what = format!("syntax error: {}", e.message());
                 let (line, column) = (at.line(), at.column());
                 return Err(Complaints(vec![Complaint { file: self.name.clone(), line, column, what }]));
             }
@@ -77,6 +77,7 @@
         Err(Complaints(found))
     }
 
+    /// Records an error at a byte range of the text.
     fn complain(&self, place: &Range<usize>, what: String) {
         let before = &self.text.as_bytes()[..place.start.min(self.text.len())];
         let line = before.iter().filter(|&&b| b == b'\n').count() + 1;
@@ -85,7 +86,10 @@
     }
 }
 
-/// A file's top level or one block. Wrong values complain and read as a harmless stand-in.
+/// Reader for the top level of a file or for one block. A missing or invalid value is recorded as an error, and the
+/// reader returns the default or a placeholder so that the rest of the file is checked too.
+///
+/// In all readers `or` is the default for an absent key; without it the key is required.
 pub struct Sheet<'a> {
     page: &'a Page,
     body: &'a Body,
@@ -93,12 +97,13 @@
     used: RefCell<BTreeSet<String>>,
 }
 
+/// Formats a value for an error message, cut to 40 characters.
 fn shown(value: &Expression) -> String {
     value.to_string().trim().chars().take(40).collect()
 }
 
 impl<'a> Sheet<'a> {
-    /// Complains of the block as a whole, or of a key in it.
+    /// Records an error for a key of this block, or for the block itself.
     pub fn complain(&self, key: Option<&str>, what: impl Into<String>) {
         let attr = key.and_then(|k| self.body.get_attribute(k));
         let place = attr.and_then(|a| a.span()).unwrap_or(self.place.clone());
@@ -114,7 +119,7 @@
         self.body.get_attribute(key)
     }
 
-    /// A value as `read` takes it; else complains that it should be `form`.
+    /// Reads a value with `read`. If that fails, records an error saying that the value should be `form`.
     fn take<T>(
         &self, key: &str, or: Option<T>, form: &str, read: impl Fn(&Expression) -> Option<T>,
     ) -> Option<T> {
@@ -132,6 +137,7 @@
         value.or(or)
     }
 
+    /// Reads a number within `range`.
     pub fn number(&self, key: &str, or: Option<f64>, range: RangeInclusive<f64>) -> f64 {
         let top =
             if range.end().is_finite() { format!(" to {}", range.end()) } else { " or more".to_owned() };
@@ -140,44 +146,50 @@
         self.take(key, or, &form, read).unwrap_or(*range.start())
     }
 
+    /// Reads a whole number within `range`.
     pub fn whole(&self, key: &str, or: Option<u64>, range: RangeInclusive<u64>) -> u64 {
         let form = format!("a whole number, {} to {}", range.start(), range.end());
         let read = |e: &Expression| e.as_number()?.as_u64().filter(|v| range.contains(v));
         self.take(key, or, &form, read).unwrap_or(*range.start())
     }
 
-    /// A span of time with its unit.
+    /// Reads a duration with its unit.
     pub fn span(&self, key: &str, or: Option<Duration>) -> Duration {
-        let form = "a span of time with its unit, as in \"800ms\", \"3s\" or \"2m\"";
+        let form = "a duration with its unit, as in \"800ms\", \"3s\" or \"2m\"";
         self.take(key, or, form, |e| read_span(e.as_str()?)).unwrap_or_default()
     }
 
+    /// Reads a boolean.
     pub fn flag(&self, key: &str, or: Option<bool>) -> bool {
         self.take(key, or, "true or false", Expression::as_bool).unwrap_or_default()
     }
 
+    /// Reads a string.
     pub fn text(&self, key: &str, or: Option<&str>, form: &str) -> String {
         self.take(key, or.map(str::to_owned), form, |e| e.as_str().map(str::to_owned)).unwrap_or_default()
     }
 
-    /// A value that `read` understands.
+    /// Reads a string and converts it with `read`, which returns none for an invalid one.
     pub fn parsed<T>(
         &self, key: &str, or: Option<T>, form: &str, read: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
         self.take(key, or, form, |e| read(e.as_str()?))
     }
 
+    /// Reads one of the given words.
     pub fn one_of<T: Copy>(&self, key: &str, or: Option<T>, words: &[(&str, T)]) -> T {
         let form = words.iter().map(|w| format!("{:?}", w.0)).collect::<Vec<_>>().join(" or ");
         let read = |e: &Expression| words.iter().find(|w| Some(w.0) == e.as_str()).map(|w| w.1);
         self.take(key, or, &form, read).unwrap_or(words[0].1)
     }
 
+    /// Reads a list of strings.
     pub fn texts(&self, key: &str, or: Option<Vec<String>>) -> Vec<String> {
         let read = |e: &Expression| e.as_array()?.iter().map(|e| e.as_str().map(str::to_owned)).collect();
-        self.take(key, or, "a list of texts, as in [\"a\", \"b\"]", read).unwrap_or_default()
+        self.take(key, or, "a list of strings, as in [\"a\", \"b\"]", read).unwrap_or_default()
     }
 
+    /// Reads a list of numbers, each within `range`.
     pub fn numbers(&self, key: &str, or: Option<Vec<f64>>, range: RangeInclusive<f64>) -> Vec<f64> {
         let form = format!("a list of numbers, each {} to {}", range.start(), range.end());
         let fits = |e: &Expression| e.as_number()?.as_f64().filter(|v| range.contains(v));
@@ -190,7 +202,7 @@
         Sheet { page: self.page, body: &block.body, place, used: RefCell::default() }
     }
 
-    /// All blocks of a name that carry one label each: label and what `read` makes of the block.
+    /// Reads all blocks with this name. Each must have one label, unique among them; `read` gets the label and the block.
     pub fn labelled<T>(&self, name: &str, read: impl Fn(&str, &Sheet) -> T) -> Vec<T> {
         self.used.borrow_mut().insert(name.to_owned());
         let mut seen = BTreeSet::new();
@@ -208,7 +220,7 @@
                 }
             };
             if !seen.insert(label.clone()) {
-                sheet.complain(None, format!("{name} {label:?} stands twice: keep one"));
+                sheet.complain(None, format!("{name} {label:?} is given twice: keep one"));
             }
             let value = read(&label, &sheet);
             sheet.close();
@@ -218,7 +230,7 @@
         body.blocks().filter(|b| b.has_ident(name)).map(one).collect()
     }
 
-    /// A block that stands at most once; one that is left out reads as if it were empty.
+    /// Reads a block that may occur at most once. An absent block is read as an empty one.
     pub fn block<T>(&self, name: &str, read: impl FnOnce(&Sheet) -> T) -> T {
         self.used.borrow_mut().insert(name.to_owned());
         let body: &'a Body = self.body;
@@ -226,7 +238,7 @@
         let empty = Body::new();
         let first = blocks.next();
         if let Some(second) = blocks.next() {
-            self.inner(second).complain(None, format!("{name} stands twice: keep one"));
+            self.inner(second).complain(None, format!("{name} is given twice: keep one"));
         }
         match first {
             Some(block) => {
@@ -250,13 +262,13 @@
         }
     }
 
-    /// The blocks of these names as HCL again: for a file that another program will read.
+    /// Returns the blocks with these names as HCL text, for a file that another program reads.
     pub fn copy(&self, names: &[&str]) -> String {
         let kept = self.body.blocks().filter(|b| names.contains(&b.ident.as_str()));
         Body::from_iter(kept.cloned()).to_string()
     }
 
-    /// Complains of all that was not asked for: a misspelt key must not pass as absent.
+    /// Records an error for each key and block that no reader asked for, so that a misspelt key does not count as absent.
     fn close(&self) {
         let used = self.used.borrow();
         for structure in self.body.iter() {
@@ -269,15 +281,15 @@
                 let near = used.iter().min_by_key(|known| distance(known, key));
                 let hint = match near.filter(|known| distance(known, key) <= 3) {
                     Some(known) => format!("did you mean {known}?"),
-                    None => format!("known here: {}", used.iter().cloned().collect::<Vec<_>>().join(", ")),
+                    None => format!("known keys: {}", used.iter().cloned().collect::<Vec<_>>().join(", ")),
                 };
-                self.page.complain(&place.unwrap_or(0..0), format!("{key} is not known here: {hint}"));
+                self.page.complain(&place.unwrap_or(0..0), format!("unknown key {key}: {hint}"));
             }
         }
     }
 }
 
-/// Reads a span such as `800ms`.
+/// Parses a duration such as `800ms`, of up to 366 days.
 pub fn read_span(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let n: f64 = text[..split].parse().ok()?;
@@ -292,7 +304,7 @@
     Duration::try_from_secs_f64(n * unit).ok().filter(|d| *d <= Duration::from_secs(366 * 86_400))
 }
 
-/// How many letters must change for one word to become the other.
+/// Levenshtein distance between two words.
 fn distance(a: &str, b: &str) -> usize {
     let (a, b): (Vec<char>, Vec<char>) = (a.chars().collect(), b.chars().collect());
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/terms/src/subset.rs
+++ b/crates/terms/src/subset.rs
@@ -1,18 +1,17 @@
-//! The block on subsets of large lists.
+//! The block `subset`: using only part of a large node list.
 
 use crate::Sheet;
 
-/// Where a list is larger than a marshal needs, it takes a part of the nodes.
+/// How a marshal selects a subset of the nodes when the list is larger than it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetTerms {
-    /// Nodes taken at the least.
+    /// Minimum number of nodes in the subset.
     pub least: usize,
-    /// How many marshals each zone has, numbered zone by zone; empty where the terms do not say, and then no node is
-    /// nearer than another.
+    /// Number of marshals in each zone; marshals are numbered zone by zone. If empty, zones do not affect the subset.
     pub marshals: Vec<usize>,
 }
 
-/// The block `subset { least, marshals }`, or `subset = false` for whoever wants all nodes.
+/// Reads the block `subset { least, marshals }`, or `subset = false`, which selects all nodes.
 pub(crate) fn subset(
     top: &Sheet, zones: &[String], (number, of, zone): (usize, usize, usize),
 ) -> Option<SubsetTerms> {
@@ -30,10 +29,10 @@
         if marshals.is_empty() {
         } else if counts.iter().any(|n| n.fract() != 0.0) || marshals.len() != zones.len() {
             let names = zones.join(", ");
-            wrong(format!("marshals does not fit zones: write a whole number for each of {names}"));
+            wrong(format!("marshals does not match zones: write a whole number for each of {names}"));
         } else if marshals.iter().sum::<usize>() != of {
             let sum: usize = marshals.iter().sum();
-            wrong(format!("marshals are {sum} together: write as many as marshal.of, {of}"));
+            wrong(format!("marshals add up to {sum}: write numbers that add up to marshal.of, {of}"));
         } else {
             let first: usize = marshals[..zone].iter().sum();
             let last = first + marshals[zone];
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,19 +1,20 @@
-//! Finding the end of a body as its bytes pass by, without holding it.
+//! Incremental body framing: finds the end of an HTTP body in a byte stream without buffering it.
 
 use crate::http::{Framing, Refusal};
 
-/// The longest chunk-size line with its extensions, and trailers in all.
+/// Longest chunk-size line, extensions included.
 const LINE_BYTES: usize = 256;
+/// Longest trailer section.
 const TRAILER_BYTES: usize = 4096;
 
-/// What the bytes at the front of a buffer are.
+/// Meaning of the bytes at the front of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Content of this length.
+    /// This many bytes of content.
     Data(usize),
-    /// Framing of this length.
+    /// This many bytes of framing: chunk sizes, line ends, trailers.
     Mark(usize),
-    /// The body ended before the front of the buffer.
+    /// The body is complete; the buffer begins with the next message.
     End,
     /// More bytes are needed.
     Need,
@@ -21,16 +22,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Bytes left of a body of known length.
     Left(u64),
+    /// Before a chunk-size line.
     Size,
+    /// Bytes left of a chunk.
     Chunk(u64),
+    /// Before the CRLF after a chunk.
     ChunkEnd,
+    /// In the trailer section, with the bytes read of it.
     Trailers(usize),
     UntilClose,
     Ended,
 }
 
-/// Walks over a body by its framing.
+/// Decoder that steps through a body according to its framing.
 #[derive(Clone, Debug)]
 pub struct Walk(State);
 
@@ -44,14 +50,15 @@
         })
     }
 
+    /// Whether the body is complete.
     pub fn ended(&self) -> bool {
         self.0 == State::Ended
     }
 
-    /// Tells what stands at the front of `buf` and steps over it.
+    /// Classifies the bytes at the front of `buf` and advances past them. The caller must drop them from the buffer.
     ///
     /// # Errors
-    /// When the chunks are malformed: their end cannot be known, the connection must be closed.
+    /// Returns an error for malformed chunks. The end of the body is then unknown and the connection must be closed.
     pub fn step(&mut self, buf: &[u8]) -> Result<Part, Refusal> {
         let bad = |why| Err(Refusal { status: 400, why });
         match self.0 {
@@ -101,7 +108,7 @@
         }
     }
 
-    /// The connection closed: whether that is a proper end here.
+    /// Records that the connection closed. Returns whether the body is complete.
     pub fn closed(&mut self) -> bool {
         if self.0 == State::UntilClose {
             self.0 = State::Ended;
@@ -110,6 +117,7 @@
     }
 }
 
+/// Returns the line at the front of `buf` without its CRLF; none while it is incomplete.
 fn line(buf: &[u8], most: usize) -> Result<Option<&[u8]>, Refusal> {
     let bad = |why| Err(Refusal { status: 400, why });
     match buf.iter().position(|&b| b == b'\n') {
@@ -127,7 +135,7 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    /// Content and length of the body at the front of `bytes`, handed over in parts of `step` bytes.
+    /// Decodes the body at the front of `bytes`, which arrive `step` at a time. Returns its content and length.
     fn walk(framing: Framing, bytes: &[u8], step: usize) -> Result<(Vec<u8>, usize), Refusal> {
         let (mut walk, mut data, mut at, mut have) = (Walk::new(framing), Vec::new(), 0, 0);
         loop {
@@ -157,7 +165,7 @@
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(10), ..ProptestConfig::with_cases(256) })]
-        /// Chunks of any sizes, cut anywhere, give back the content and leave the next message alone.
+        /// Chunks of any size, split at any byte, decode to the content, and the next message is left in the buffer.
         #[test]
         fn chunks_are_walked(parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..40), 0..6),
                              step in 1usize..30) {
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,23 +1,24 @@
-//! HTTP/1.1 heads (RFC 9112), read strictly: what two parsers could read in two ways is refused, so that no
-//! message can be smuggled to a node inside another.
+//! Strict parser and writer for HTTP/1.1 message heads (RFC 9112). Messages that two parsers could interpret differently
+//! are rejected, which prevents request smuggling.
 
 use std::ops::Range;
 
-/// Limits on a head: bytes in all, and header fields.
+/// Largest accepted head, in bytes.
 pub const HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of header fields.
 pub const HEAD_FIELDS: usize = 64;
 
-/// How the end of a body is found (RFC 9112, section 6).
+/// How a body is delimited (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// Exactly this many bytes.
     Length(u64),
     Chunked,
-    /// Responses only: until the connection closes.
+    /// Responses only: the body ends when the connection closes.
     UntilClose,
 }
 
-/// Why a head is not taken, with the status that says so (RFC 9110).
+/// Why a message was rejected, and the status code to answer with (RFC 9110).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     pub status: u16,
@@ -34,7 +35,7 @@
     value: Range<usize>,
 }
 
-/// The header fields of one message, over the bytes they came in.
+/// The header fields of one message, stored as ranges of its raw head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fields {
     raw: Vec<u8>,
@@ -43,7 +44,7 @@
 
 impl Fields {
     fn new(raw: &[u8], parsed: &[httparse::Header]) -> Self {
-        // httparse hands out slices of `raw`; as ranges they outlive the buffer that was read into.
+        // httparse returns slices of `raw`; ranges stay valid after the receive buffer is reused.
         let range = |part: &[u8]| {
             let from = part.as_ptr() as usize - raw.as_ptr() as usize;
             from..from + part.len()
@@ -53,25 +54,25 @@
         Fields { raw: raw.to_vec(), fields }
     }
 
-    /// All fields in their order: name, value.
+    /// Iterates over all fields in order, as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|f| {
             (std::str::from_utf8(&self.raw[f.name.clone()]).unwrap_or(""), &self.raw[f.value.clone()])
         })
     }
 
-    /// The values of a field, by its name in any case.
+    /// Iterates over all values of a field; the name is case-insensitive.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = move |f: &&Field| self.raw[f.name.clone()].eq_ignore_ascii_case(name.as_bytes());
         self.fields.iter().filter(named).map(|f| &self.raw[f.value.clone()])
     }
 
-    /// The first value of a field, where it is text.
+    /// Returns the first value of a field if it is valid UTF-8.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next().and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
     }
 
-    /// A comma-separated list field holds the word.
+    /// Whether a comma-separated list field contains `word`, ignoring case.
     pub fn lists<'a>(&'a self, name: &'a str, word: &str) -> bool {
         self.all(name)
             .filter_map(|v| std::str::from_utf8(v).ok())
@@ -80,30 +81,34 @@
     }
 }
 
+/// A parsed request head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// The HTTP method; `method` is the name for what an RPC calls.
     pub verb: String,
     pub target: String,
     pub fields: Fields,
     pub framing: Framing,
-    /// The client may send another message on this connection.
+    /// The connection may be reused for another message.
     pub keep_alive: bool,
-    /// The client waits for `100 Continue` before its body.
+    /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
+/// A parsed response head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
     pub fields: Fields,
     pub framing: Framing,
+    /// The connection may be reused for another message.
     pub keep_alive: bool,
 }
 
-/// A head and how many bytes of the buffer it took; none while it is incomplete.
+/// A parsed head and its length in bytes; none while the head is incomplete.
 pub type Parsed<T> = Result<Option<(T, usize)>, Refusal>;
 
-/// Reads a request head from the front of `buf`.
+/// Parses a request head at the front of `buf`.
 pub fn request(buf: &[u8]) -> Parsed<Request> {
     let mut headers = [httparse::EMPTY_HEADER; HEAD_FIELDS];
     let mut head = httparse::Request::new(&mut headers);
@@ -117,7 +122,7 @@
             return Ok(None);
         }
         Err(httparse::Error::TooManyHeaders) => return refuse(431, "more than 64 header fields"),
-        Err(httparse::Error::Version) => return refuse(505, "only HTTP/1.0 and HTTP/1.1 are spoken"),
+        Err(httparse::Error::Version) => return refuse(505, "only HTTP/1.0 and HTTP/1.1 are supported"),
         Err(_) => return refuse(400, "the head is malformed"),
     };
     bare_lf(&buf[..used])?;
@@ -129,7 +134,7 @@
     }
     let hosts = fields.all("host").count();
     if hosts > 1 || (newer && hosts == 0) {
-        return refuse(400, "there must be one Host field");
+        return refuse(400, "there must be exactly one Host field");
     }
     let framing = match framing(&fields, newer)? {
         Some(framing) => framing,
@@ -138,13 +143,13 @@
     let expects_continue = match fields.get("expect") {
         None => false,
         Some(what) if newer && what.eq_ignore_ascii_case("100-continue") => true,
-        Some(_) => return refuse(417, "only 100-continue can be expected"),
+        Some(_) => return refuse(417, "the only supported expectation is 100-continue"),
     };
     let keep_alive = persists(&fields, newer);
     Ok(Some((Request { verb, target, fields, framing, keep_alive, expects_continue }, used)))
 }
 
-/// Reads a response head from the front of `buf`; `to_head` says that it answers a HEAD.
+/// Parses a response head at the front of `buf`. `to_head` says that it answers a HEAD request.
 pub fn response(buf: &[u8], to_head: bool) -> Parsed<Response> {
     let mut headers = [httparse::EMPTY_HEADER; HEAD_FIELDS];
     let mut head = httparse::Response::new(&mut headers);
@@ -159,7 +164,7 @@
     bare_lf(&buf[..used])?;
     let (status, newer) = (head.code.unwrap_or(0), head.version == Some(1));
     if !(100..600).contains(&status) {
-        return refuse(502, "the status is not one of HTTP");
+        return refuse(502, "the status code is not between 100 and 599");
     }
     let fields = Fields::new(&buf[..used], head.headers);
     let bodiless = to_head || status < 200 || status == 204 || status == 304;
@@ -172,7 +177,7 @@
     Ok(Some((Response { status, fields, framing, keep_alive }, used)))
 }
 
-/// A lone LF ends a line for some parsers and not for others.
+/// Rejects an LF without CR, which ends a line for some parsers but not for others.
 fn bare_lf(head: &[u8]) -> Result<(), Refusal> {
     let lone = |i: usize| head[i] == b'\n' && (i == 0 || head[i - 1] != b'\r');
     if (0..head.len()).any(lone) {
@@ -181,6 +186,7 @@
     Ok(())
 }
 
+/// Determines the body framing from the fields; none if they do not state one.
 fn framing(fields: &Fields, newer: bool) -> Result<Option<Framing>, Refusal> {
     let mut codings = fields.all("transfer-encoding");
     let mut lengths = fields.all("content-length");
@@ -190,7 +196,7 @@
         (Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
             Ok(Some(Framing::Chunked))
         }
-        (Some(_), None) => refuse(501, "the only transfer coding spoken is chunked"),
+        (Some(_), None) => refuse(501, "the only supported transfer coding is chunked"),
         (None, Some(length)) => {
             if lengths.next().is_some() {
                 return refuse(400, "more than one Content-Length");
@@ -205,6 +211,7 @@
     }
 }
 
+/// Whether the connection is persistent (RFC 9112, section 9.3).
 fn persists(fields: &Fields, newer: bool) -> bool {
     if newer {
         !fields.lists("connection", "close")
@@ -213,7 +220,8 @@
     }
 }
 
-/// Fields that concern one connection only (RFC 9110, section 7.6.1), besides those that Connection names.
+/// Whether a field applies to a single connection (RFC 9110, section 7.6.1) or is rewritten for each hop. Fields named by
+/// `Connection` are hop-by-hop as well.
 pub fn hop_by_hop(name: &str) -> bool {
     const HOP: [&str; 9] = [
         "connection",
@@ -229,19 +237,21 @@
     HOP.iter().any(|h| name.eq_ignore_ascii_case(h))
 }
 
-/// Writes a message head out of its start line and fields. Values with line breaks cannot occur: they were
-/// parsed, or are our own.
+/// Builds a message head. Values are not checked for line breaks: they come from parsed messages or from this program.
 pub struct HeadWriter(Vec<u8>);
 
 impl HeadWriter {
+    /// Starts a request head.
     pub fn request(verb: &str, target: &str) -> Self {
         HeadWriter(format!("{verb} {target} HTTP/1.1\r\n").into_bytes())
     }
 
+    /// Starts a response head.
     pub fn response(status: u16) -> Self {
         HeadWriter(format!("HTTP/1.1 {status} {}\r\n", reason(status)).into_bytes())
     }
 
+    /// Adds a field.
     pub fn field(mut self, name: &str, value: impl AsRef<[u8]>) -> Self {
         self.0.extend_from_slice(name.as_bytes());
         self.0.extend_from_slice(b": ");
@@ -250,7 +260,7 @@
         self
     }
 
-    /// The end-to-end fields of another message, without those that `but` names.
+    /// Copies the end-to-end fields of another message, except those listed in `but`.
     pub fn pass(mut self, fields: &Fields, but: &[&str]) -> Self {
         let connection = fields.get("connection").is_some();
         for (name, value) in fields.iter() {
@@ -263,12 +273,14 @@
         self
     }
 
+    /// Returns the complete head, with the blank line that ends it.
     pub fn finish(mut self) -> Vec<u8> {
         self.0.extend_from_slice(b"\r\n");
         self.0
     }
 }
 
+/// Returns the reason phrase of a status code.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -349,7 +361,7 @@
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(10), ..ProptestConfig::with_cases(512) })]
-        /// However a head arrives, it is read once whole and to the same result.
+        /// A partial head gives none, and a complete one the same result whatever follows it.
         #[test]
         fn a_head_in_parts_is_the_same_head(cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..40)) {
             let text = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n";
@@ -359,7 +371,7 @@
             let (head, used) = request(&whole).unwrap().unwrap();
             prop_assert_eq!((used, head.framing), (text.len(), Framing::Length(3)));
         }
-        /// No bytes make it panic.
+        /// Arbitrary bytes do not make the parser panic.
         #[test]
         fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             let _ = request(&bytes);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What is spoken between clients, marshals, nodes, the node list, the release desk and peers, as bytes and
-//! plain types. Nothing here reads a socket or a clock; `docs/protocol.md` has the grammar and the limits.
+//! Wire formats between clients, marshals, nodes, the node list, the rollout controller and peers: parsing, formatting
+//! and the plain types they map to. No sockets and no clocks; `docs/protocol.md` has the grammar and the limits.
 #![forbid(unsafe_code)]
 
 pub mod body;
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,21 +1,24 @@
-//! The node list, in the blocking-query form of Consul's health endpoint: `GET
-//! /v1/health/service/NAME?index=N&wait=10s`, answered at once when the index has passed N, else held. The
-//! index travels in `X-Consul-Index`.
+//! The node list, in the format of Consul's health endpoint with blocking queries: `GET
+//! /v1/health/service/NAME?index=N&wait=10s` is answered at once if the index is past N, otherwise when it changes or the
+//! wait ends. The answer carries the index in `X-Consul-Index`.
 
 use serde::{Deserialize, Serialize};
 
+/// Header field with the index of a list.
 pub const INDEX: &str = "x-consul-index";
-/// The longest list taken, in bytes and nodes.
+/// Largest accepted list, in bytes.
 pub const LIST_BYTES: usize = 4 * 1024 * 1024;
+/// Largest accepted list, in nodes.
 pub const LIST_NODES: usize = 20_000;
 
+/// Whether a listed node may get new RPCs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Ready,
     Draining,
 }
 
-/// One node as listed.
+/// One entry of the node list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
     pub host: String,
@@ -25,9 +28,9 @@
     pub zone: String,
     pub cell: u16,
     pub kind: String,
-    /// Its size against other nodes; 1 where it is not given.
+    /// Capacity relative to other nodes; 1 by default.
     pub power: f64,
-    /// When it last started, in milliseconds of Unix time; none means long ago.
+    /// Last start, in milliseconds of Unix time; none means that the node has been up for long.
     pub started_ms: Option<u64>,
 }
 
@@ -55,16 +58,18 @@
     status: String,
 }
 
+/// Returns the request target of a query for a service's list.
 pub fn path(service: &str, index: u64, wait_s: u64) -> String {
     format!("/v1/health/service/{service}?index={index}&wait={wait_s}s")
 }
 
-/// A number of a query string.
+/// Returns a number from the query string of a request target; a unit of seconds (`10s`) is dropped.
 pub fn query(target: &str, name: &str) -> Option<u64> {
     let pairs = target.split_once('?')?.1.split('&').filter_map(|p| p.split_once('='));
     pairs.filter(|(n, _)| *n == name).find_map(|(_, v)| v.trim_end_matches('s').parse().ok())
 }
 
+/// Serializes a list.
 pub fn write(nodes: &[Listed]) -> Vec<u8> {
     let entry = |n: &Listed| {
         let mut meta = std::collections::BTreeMap::from([
@@ -84,18 +89,19 @@
     serde_json::to_vec(&nodes.iter().map(entry).collect::<Vec<_>>()).unwrap_or_default()
 }
 
-/// Reads a whole list. Nodes with a critical check are left out, as a catalogue's `passing` filter does;
-/// a node in maintenance, or draining, gets nothing new.
+/// Parses a list. Nodes with a critical check are left out, as Consul's `passing` filter does; nodes in maintenance count
+/// as draining.
 ///
 /// # Errors
-/// A sentence on what is wrong; the list is then not taken at all.
+/// Returns a sentence on what is malformed; the list must then be ignored as a whole.
 pub fn read(bytes: &[u8]) -> Result<Vec<Listed>, String> {
     if bytes.len() > LIST_BYTES {
-        return Err(format!("the list has {} bytes, over {LIST_BYTES}", bytes.len()));
+        return Err(format!("the node list has {} bytes, the limit is {LIST_BYTES}", bytes.len()));
     }
-    let entries: Vec<Entry> = serde_json::from_slice(bytes).map_err(|e| format!("the list: {e}"))?;
+    let entries: Vec<Entry> =
+        serde_json::from_slice(bytes).map_err(|e| format!("malformed node list: {e}"))?;
     if entries.len() > LIST_NODES {
-        return Err(format!("the list has {} nodes, over {LIST_NODES}", entries.len()));
+        return Err(format!("the node list has {} nodes, the limit is {LIST_NODES}", entries.len()));
     }
     let mut listed = Vec::with_capacity(entries.len());
     for entry in entries {
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,16 +1,16 @@
-//! Reading a message whole, head and body, for those who need not pass it on before its end.
+//! Reads complete HTTP messages, head and body, for callers that do not stream them.
 
 use std::io::{self, ErrorKind};
 
 use crate::body::{Part, Walk};
 use crate::http::{self, Framing, Parsed, Request, Response};
 
-/// Reads a request. `more` appends bytes to the buffer, and says false at the end of the stream; what lies behind
-/// the message stays in the buffer.
+/// Reads a request. `more` appends bytes to the buffer and returns false at the end of the stream. Bytes after the
+/// message stay in the buffer.
 ///
 /// # Errors
-/// Those of `more`; `UnexpectedEof` where the stream ends first; `InvalidData`, with the reason, for what is no
-/// HTTP or has a body of more than `most` bytes.
+/// Returns errors of `more`; `UnexpectedEof` if the stream ends within the message; `InvalidData`, with the reason, if
+/// the message is malformed or its body is longer than `most` bytes.
 pub fn request(
     buf: &mut Vec<u8>, most: usize, mut more: impl FnMut(&mut Vec<u8>) -> io::Result<bool>,
 ) -> io::Result<(Request, Vec<u8>)> {
@@ -19,14 +19,14 @@
     Ok((head, body))
 }
 
-/// Reads a response to anything but a HEAD, past its interim ones; otherwise as [`request`].
+/// Reads a response to any request but HEAD, skipping interim (1xx) responses; otherwise like [`request`].
 ///
 /// # Errors
-/// As [`request`].
+/// As for [`request`]; also `InvalidData` after 8 interim responses.
 pub fn response(
     buf: &mut Vec<u8>, most: usize, mut more: impl FnMut(&mut Vec<u8>) -> io::Result<bool>,
 ) -> io::Result<(Response, Vec<u8>)> {
-    // A far side that sends nothing else is stopped.
+    // Bounds the number of interim responses, so that a peer cannot keep this loop running.
     for _ in 0..8 {
         let head = head(buf, &mut more, |buf| http::response(buf, false))?;
         if head.status >= 200 {
@@ -34,7 +34,7 @@
             return Ok((head, body));
         }
     }
-    Err(bad("nothing but interim answers"))
+    Err(bad("too many interim responses"))
 }
 
 fn bad(why: &'static str) -> io::Error {
@@ -67,7 +67,7 @@
                 body.extend_from_slice(&buf[at..at + n]);
                 at += n;
                 if body.len() > most {
-                    return Err(bad("the body is longer than is taken"));
+                    return Err(bad("the body is longer than the limit"));
                 }
             }
             Part::Mark(n) => at += n,
@@ -92,7 +92,7 @@
 mod tests {
     use super::*;
 
-    /// Hands out `bytes` in parts of `step`.
+    /// A reader that returns `bytes` in parts of `step`.
     fn parts(bytes: &[u8], step: usize) -> impl FnMut(&mut Vec<u8>) -> io::Result<bool> + '_ {
         let mut left = bytes;
         move |buf| {
--- a/crates/wire/src/orca.rs
+++ b/crates/wire/src/orca.rs
@@ -1,21 +1,23 @@
-//! A node's load in the `endpoint-load-metrics` response field, in the native form of the Open Request Cost
-//! Aggregation proposal: `TEXT name=value, ...`, or `JSON {...}`.
+//! Load reports of nodes in the `endpoint-load-metrics` response field, in the native formats of Open Request Cost
+//! Aggregation (ORCA): `TEXT name=value, ...` or `JSON {...}`.
 
-/// The field's name.
+/// Name of the response field.
 pub const FIELD: &str = "endpoint-load-metrics";
 
-/// Figures as a node reports them; what is absent or malformed is none.
+/// Load figures reported by a node; absent and malformed ones are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// Busy part of the cores, 0 to 1.
+    /// CPU utilization, 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// RPCs a second.
+    /// RPCs per second.
     pub rps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: Option<f64>,
-    /// RPCs waiting, RPCs held, recent service time in milliseconds: named metrics of ours.
+    /// RPCs queued. This and the following are custom named metrics.
     pub queue: Option<f64>,
+    /// RPCs accepted and not yet answered.
     pub in_flight: Option<f64>,
+    /// Recent service time in milliseconds.
     pub latency_ms: Option<f64>,
 }
 
@@ -33,6 +35,7 @@
         *slot = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
     }
 
+    /// Parses a field value; unknown and malformed metrics are ignored.
     pub fn read(text: &str) -> Metrics {
         let mut metrics = Metrics::default();
         if let Some(pairs) = text.strip_prefix("TEXT ") {
@@ -54,6 +57,7 @@
         metrics
     }
 
+    /// Formats the metrics as a field value in the `TEXT` format.
     pub fn write(&self) -> String {
         let figures = [
             ("cpu_utilization", self.cpu_utilization),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,31 +1,35 @@
-//! Datagrams between marshals, and to whoever asks a marshal for its view of them: a magic, a kind, the sender
-//! and bytes of that kind. Loss, repetition and reordering do no harm; anything malformed is dropped by the reader.
+//! UDP datagrams between marshals, and for queries of a marshal's view of the others. A datagram has a magic number, a
+//! kind, the sender's number and a payload. The protocols above tolerate loss, duplication and reordering; malformed
+//! datagrams are dropped.
 
 use serde::{Deserialize, Serialize};
 
-/// The policy's bytes at most.
+/// Largest payload of kind [`Kind::Policy`].
 pub const TEXT_BYTES: usize = 256;
-/// Bytes of any other kind at most.
+/// Largest payload of any other kind.
 pub const MOST_BYTES: usize = 1100;
-/// No datagram is longer.
+/// Largest datagram, header included.
 pub const DATAGRAM_BYTES: usize = MOST_BYTES + 5;
-/// Rows of a view on one page.
+/// Maximum number of rows on one page of a view.
 pub const ROWS: usize = 16;
 const MAGIC: [u8; 2] = *b"iv";
 
+/// Kind of a datagram's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// What the policy tells others of builds.
+    /// Data on builds that the policy shares with other marshals.
     Policy = 1,
-    /// Membership.
+    /// Messages of the membership protocol.
     Members = 2,
-    /// A question for a page of the view, as long as any answer: nobody gets more out than it put in.
+    /// Query for a page of the view, padded to the length of the longest answer so that it cannot be used for traffic
+    /// amplification.
     Question = 3,
-    /// A page of the view.
+    /// One page of the view.
     View = 4,
 }
 
 impl Kind {
+    /// Largest payload of this kind.
     fn most(self) -> usize {
         if self == Kind::Policy {
             TEXT_BYTES
@@ -35,12 +39,13 @@
     }
 }
 
+/// Builds a datagram; none if the payload is too long for its kind.
 pub fn write(kind: Kind, from: u16, bytes: &[u8]) -> Option<Vec<u8>> {
     let head = [MAGIC[0], MAGIC[1], kind as u8];
     (bytes.len() <= kind.most()).then(|| [&head[..], &from.to_be_bytes(), bytes].concat())
 }
 
-/// The kind, the sender and its bytes.
+/// Parses a datagram into kind, sender and payload; none if it is malformed.
 pub fn read(datagram: &[u8]) -> Option<(Kind, u16, &[u8])> {
     let rest = datagram.strip_prefix(&MAGIC)?;
     let (kind, rest) = rest.split_first()?;
@@ -50,86 +55,90 @@
     (bytes.len() <= kind.most()).then_some((kind, u16::from_be_bytes(*from), bytes))
 }
 
-/// A question for the page that begins with this member.
+/// Builds a query for the page that begins with member `first`.
 pub fn question(first: u16) -> Vec<u8> {
     let mut bytes = vec![0; MOST_BYTES];
     bytes[..2].copy_from_slice(&first.to_be_bytes());
     write(Kind::Question, 0, &bytes).unwrap_or_default()
 }
 
-/// What a question of full length asks for.
+/// Returns the first member that a query asks for; none unless the query has its full length.
 pub fn asked(bytes: &[u8]) -> Option<u16> {
     let first = bytes.first_chunk::<2>()?;
     (bytes.len() == MOST_BYTES).then(|| u16::from_be_bytes(*first))
 }
 
-/// A page of one marshal's view of all marshals.
+/// One page of a marshal's view of all marshals.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
+    /// Number of the marshal whose view this is.
     pub number: u16,
-    /// How many marshals there are by the terms.
+    /// Number of marshals in its config.
     pub of: u16,
     /// The first member on this page.
     pub first: u16,
-    /// How far the marshal doubts its own links, 0 to 8.
+    /// Lifeguard health multiplier, 0 to 8: how much the marshal distrusts its own connectivity.
     pub doubt: u8,
-    /// Bytes a second that it sends to others, over its life.
+    /// Bytes per second that it has sent to other marshals, averaged since its start.
     pub sent: f32,
     pub rows: Vec<Row>,
 }
 
-/// What stands behind a page: programs of before there were sections neither write it nor miss it.
+/// Extension appended to a page. Versions before protocol sections neither write it nor require it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct More {
-    /// The level that the marshals present speak in common, as this one knows it.
+    /// Highest protocol level common to all live marshals, as this one knows it.
     pub level: u8,
-    /// Somebody is present with whom it has no level in common.
+    /// A live marshal has no protocol level in common with this one.
     pub apart: bool,
-    /// For each row: the highest level that the marshal speaks, and its program; none where it says neither.
+    /// For each row, the highest protocol level and the program version of that marshal; none if it reports neither.
     pub rows: Vec<Option<(u8, String)>>,
 }
 
-/// One marshal, as another sees it; spans in milliseconds.
+/// One marshal as seen by another. Durations are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub number: u16,
     pub state: String,
+    /// Incarnation number.
     pub life: u64,
-    /// How long it has been in this state.
+    /// Time since it entered this state.
     pub since: u64,
-    /// How long ago it was heard itself.
+    /// Time since a message was last received from it directly.
     pub heard: Option<u64>,
-    /// What it says of itself, and how long ago that came.
+    /// Its latest status report, and the age of that report.
     pub about: Option<(About, u64)>,
 }
 
-/// What a marshal says of itself to all.
+/// Status report of a marshal, sent to all others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct About {
-    /// Its zone, by the place in its terms, and the zone's region.
+    /// Index of its zone in its config.
     pub zone: u16,
+    /// Index of the zone's region.
     pub region: u16,
-    /// RPCs a second that it takes.
+    /// RPCs per second that it receives.
     pub rate: f32,
-    /// Nodes that it knows to be ready.
+    /// Number of nodes that it considers ready.
     pub ready: u16,
 }
 
-/// As bytes; they fit where the names and rows do.
+/// Serializes a message with postcard. The caller keeps names and rows short enough for a datagram.
 pub fn pack<T: Serialize>(what: &T) -> Vec<u8> {
     postcard::to_allocvec(what).unwrap_or_default()
 }
 
+/// Deserializes a message; none if it is malformed. Bytes after the message are ignored.
 pub fn unpack<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// The same from the front of some bytes, and what stands behind it.
+/// Deserializes a message at the front of `bytes` and returns it with the bytes after it.
 pub fn unpack_first<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<(T, &[u8])> {
     postcard::take_from_bytes(bytes).ok()
 }
 
-/// A page with more behind it, as far as a datagram holds both.
+/// Serializes a page, followed by the extension if both fit into a datagram.
 pub fn page(view: &View, more: &More) -> Vec<u8> {
     let (view, more) = (pack(view), pack(more));
     let room = MOST_BYTES.saturating_sub(view.len());
@@ -175,9 +184,9 @@
         assert_eq!(
             unpack_first::<View>(&full),
             Some((view.clone(), &[][..])),
-            "the page goes before what is behind it"
+            "the extension must be dropped, not the page"
         );
-        // A program of before reads a page and leaves the rest.
+        // A version without the extension reads the page and ignores the rest.
         let few = View { rows: view.rows[..8].to_vec(), ..view };
         let more = More { rows: more.rows[..8].to_vec(), ..more };
         let both = page(&few, &more);
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,38 +1,40 @@
-//! What an RPC carries besides its body: deadline, token, key, marks, and the kind of its final answer.
+//! Header fields of an RPC and of its answers: deadline, idempotency token, key, trace, and the kind of final answer.
 
 use std::time::Duration;
 
 use crate::http::Fields;
 
-/// The time the client still has, in the form of gRPC over HTTP/2: up to 8 digits and a unit.
+/// Time left until the client's deadline, in the format of gRPC over HTTP/2: up to 8 digits and a unit.
 pub const TIMEOUT: &str = "grpc-timeout";
-/// How often the client has tried before, as in gRPC's retry design.
+/// Number of earlier tries by the client, as in gRPC's retry design.
 pub const EARLIER_TRIES: &str = "grpc-previous-rpc-attempts";
-/// The mark by which a repeat is known (IETF draft Idempotency-Key header).
+/// Token by which nodes recognize a repeated RPC (IETF draft Idempotency-Key header).
 pub const TOKEN: &str = "idempotency-key";
-/// The subject of the RPC: those with the same key belong together.
+/// Routing key: RPCs with the same key concern the same subject.
 pub const KEY: &str = "ivydrift-key";
-/// Whose RPC it is.
+/// Tenant of the caller.
 pub const TENANT: &str = "ivydrift-tenant";
-/// Which of the three final answers this is: `ok`, `pushed-back` or `aborted`.
+/// Kind of the final answer: `ok`, `pushed-back` or `aborted`.
 pub const ANSWER: &str = "ivydrift-answer";
+/// Number of picks made for the RPC.
 pub const PICKS: &str = "ivydrift-picks";
+/// Build of the node that answered.
 pub const BUILD: &str = "ivydrift-build";
-/// Why there was no ok, in one word.
+/// Reason for an answer other than `ok`, in one word.
 pub const WHY: &str = "ivydrift-why";
-/// A node's word that it turned the RPC away unseen: it never ran and never will.
+/// Set by a node that rejected the RPC without processing it: it never ran and never will.
 pub const NEVER_RAN: &str = "ivydrift-never-ran";
-/// An identifier of the client's try, passed on unaltered to the node.
+/// Identifier of the client's try, forwarded unchanged to the node.
 pub const TRACE: &str = "ivydrift-trace";
-/// Of a marshal with many clients: over how many milliseconds they should come back if it goes.
+/// Set by a marshal with many clients: milliseconds over which they should spread their reconnects if it stops.
 pub const SPREAD_MS: &str = "ivydrift-spread-ms";
-/// Milliseconds after which the client may come back; `Retry-After` has whole seconds only.
+/// Milliseconds after which the client may retry. `Retry-After` allows only whole seconds.
 pub const RETRY_AFTER_MS: &str = "retry-after-ms";
 
-/// Reads `grpc-timeout`: at most 8 digits and one of H, M, S, m, u, n.
+/// Parses `grpc-timeout`: at most 8 digits and one of H, M, S, m, u, n.
 ///
 /// # Errors
-/// A sentence on what to write instead.
+/// Returns a sentence on what to write instead.
 pub fn read_timeout(text: &str) -> Result<Duration, &'static str> {
     const FORM: &str = "grpc-timeout must be 1 to 8 digits and a unit of H, M, S, m, u or n, as in 800m";
     let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or(FORM)?;
@@ -51,7 +53,7 @@
     })
 }
 
-/// Writes `grpc-timeout`, rounded down: a node must not believe that it has longer.
+/// Formats `grpc-timeout`, rounded down so that a node never gets more time than is left.
 pub fn write_timeout(span: Duration) -> String {
     match span.as_micros() {
         us if us < 100_000_000 => format!("{us}u"),
@@ -60,20 +62,20 @@
     }
 }
 
-/// The method of an RPC: the path without its query and leading slash.
+/// Returns the method of an RPC: the path without query, leading and trailing slashes.
 pub fn method_of(target: &str) -> &str {
     let path = target.split(['?', '#']).next().unwrap_or("");
     path.trim_start_matches('/').trim_end_matches('/')
 }
 
-/// The key as a number: decimal as it stands, else a hash (FNV-1a), so that any text may be a key. 0 is none.
+/// Converts a key to a number: a decimal number is used as is, any other text is hashed (FNV-1a). 0 means no key.
 pub fn key_of(text: &str) -> Option<u64> {
     let fnv = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let hash = || text.bytes().fold(0xcbf2_9ce4_8422_2325, fnv);
     Some(text.parse().unwrap_or_else(|_| hash())).filter(|&key| key != 0 && !text.is_empty())
 }
 
-/// The kind of a final answer.
+/// Kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Ok,
@@ -82,6 +84,7 @@
 }
 
 impl Kind {
+    /// Name on the wire.
     pub fn word(self) -> &'static str {
         match self {
             Kind::Ok => "ok",
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Which answer a response is. Without our field it did not come from a marshal's mouth.
+    /// Reads the kind from the fields of a response; none if a marshal did not produce it.
     pub fn read(fields: &Fields) -> Option<Kind> {
         [Kind::Ok, Kind::PushedBack, Kind::Aborted].into_iter().find(|k| fields.get(ANSWER) == Some(k.word()))
     }
