--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -37,20 +37,20 @@
 }
 
 /// Connect timeout used when the settings give none.
-const DIAL: Duration = Duration::from_millis(250);
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 pub type Result<T> = std::result::Result<T, Wrong>;
 
-fn malformed<T>(what: impl Into<String>) -> Result<T> {
-    Err(Wrong(what.into()))
+fn malformed<T>(message: impl Into<String>) -> Result<T> {
+    Err(Wrong(message.into()))
 }
 
 /// Settings flattened into a map from key path to text value.
-struct Pairs(HashMap<String, String>);
+struct Settings(HashMap<String, String>);
 
-impl Pairs {
+impl Settings {
     /// Parses lines of `path=value`.
-    fn lines(text: &[u8]) -> Result<Self> {
+    fn from_lines(text: &[u8]) -> Result<Self> {
         let Ok(text) = std::str::from_utf8(text) else {
             return malformed("the start settings are not UTF-8");
         };
@@ -61,15 +61,15 @@
                 None => return malformed(format!("a line of the start settings has no '=': {line:?}")),
             };
         }
-        Ok(Pairs(pairs))
+        Ok(Settings(pairs))
     }
 
     /// Flattens a JSON object. Path segments are joined by dots, lists of scalars by commas; the elements of other
     /// lists are numbered from 0, next to a `count`.
-    fn object(value: &Value) -> Self {
+    fn from_json(value: &Value) -> Self {
         let mut pairs = HashMap::new();
         flatten(String::new(), value, &mut pairs);
-        Pairs(pairs)
+        Settings(pairs)
     }
 
     fn text(&self, key: &str) -> Result<&str> {
@@ -88,7 +88,7 @@
     }
 
     /// Reads a non-negative whole number; `3.0` is accepted.
-    fn whole(&self, key: &str) -> Result<u64> {
+    fn whole_number(&self, key: &str) -> Result<u64> {
         let value: f64 = self.number(key)?;
         if value < 0.0 || value.fract() != 0.0 {
             return malformed(format!("the start setting {key} is not a whole number: {value}"));
@@ -105,8 +105,8 @@
     }
 
     /// Reads a duration given in microseconds.
-    fn span(&self, key: &str) -> Result<Duration> {
-        Ok(Duration::from_micros(self.whole(key)?))
+    fn duration(&self, key: &str) -> Result<Duration> {
+        Ok(Duration::from_micros(self.whole_number(key)?))
     }
 
     fn has(&self, key: &str) -> bool {
@@ -133,24 +133,24 @@
     }
 
     /// Reads a comma-separated list; an absent key counts as empty.
-    fn words(&self, key: &str) -> Vec<&str> {
-        self.0.get(key).map_or_else(Vec::new, |v| v.split(',').filter(|w| !w.is_empty()).collect())
+    fn items(&self, key: &str) -> Vec<&str> {
+        self.0.get(key).map_or_else(Vec::new, |v| v.split(',').filter(|item| !item.is_empty()).collect())
     }
 
     fn numbers(&self, key: &str) -> Result<Vec<f64>> {
         self.text(key)?;
-        let read = |w: &&str| match w.parse::<f64>() {
+        let read = |item: &&str| match item.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(value),
-            _ => malformed(format!("the start setting {key} has a value that cannot be read: {w:?}")),
+            _ => malformed(format!("the start setting {key} has a value that cannot be read: {item:?}")),
         };
-        self.words(key).iter().map(read).collect()
+        self.items(key).iter().map(read).collect()
     }
 
     /// Reads the length of a numbered list; an absent list is empty.
     fn count(&self, list: &str) -> Result<usize> {
         let key = format!("{list}.count");
         if self.has(&key) {
-            Ok(self.whole(&key)? as usize)
+            Ok(self.whole_number(&key)? as usize)
         } else {
             Ok(0)
         }
@@ -158,7 +158,7 @@
 }
 
 /// Formats a scalar; lists, objects and null have no text form.
-fn plain(value: &Value) -> Option<String> {
+fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::Bool(b) => Some(b.to_string()),
         Value::Number(n) => Some(n.to_string()),
@@ -168,21 +168,21 @@
 }
 
 fn flatten(path: String, value: &Value, pairs: &mut HashMap<String, String>) {
-    let under = |part: &str| if path.is_empty() { part.to_owned() } else { format!("{path}.{part}") };
+    let child = |part: &str| if path.is_empty() { part.to_owned() } else { format!("{path}.{part}") };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(under(key), value, pairs)),
-        Value::Array(list) if list.iter().any(|one| plain(one).is_none()) => {
-            pairs.insert(under("count"), list.len().to_string());
-            for (i, one) in list.iter().enumerate() {
-                flatten(under(&i.to_string()), one, pairs);
+        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(child(key), value, pairs)),
+        Value::Array(list) if list.iter().any(|element| scalar_text(element).is_none()) => {
+            pairs.insert(child("count"), list.len().to_string());
+            for (i, element) in list.iter().enumerate() {
+                flatten(child(&i.to_string()), element, pairs);
             }
         }
         Value::Array(list) => {
-            let words: Vec<String> = list.iter().filter_map(plain).collect();
-            pairs.insert(path, words.join(","));
+            let items: Vec<String> = list.iter().filter_map(scalar_text).collect();
+            pairs.insert(path, items.join(","));
         }
         other => {
-            pairs.extend(plain(other).map(|text| (path, text)));
+            pairs.extend(scalar_text(other).map(|text| (path, text)));
         }
     }
 }
@@ -191,34 +191,38 @@
 ///
 /// # Errors
 /// Returns the first key that is missing, malformed or out of range.
-pub fn read(salt: u64, text: &[u8]) -> Result<Facts> {
-    facts(salt, &Pairs::lines(text)?)
+pub fn read(seed: u64, text: &[u8]) -> Result<Facts> {
+    from_settings(seed, &Settings::from_lines(text)?)
 }
 
 /// Reads settings from a JSON object with the same keys.
 ///
 /// # Errors
 /// Returns the first key that is missing, malformed or out of range.
-pub fn read_object(salt: u64, value: &Value) -> Result<Facts> {
-    facts(salt, &Pairs::object(value))
+pub fn read_object(seed: u64, value: &Value) -> Result<Facts> {
+    from_settings(seed, &Settings::from_json(value))
 }
 
-fn facts(salt: u64, p: &Pairs) -> Result<Facts> {
-    let methods = (0..p.count("request_classes")?).map(|i| method(p, i)).collect::<Result<Vec<_>>>()?;
+fn from_settings(seed: u64, settings: &Settings) -> Result<Facts> {
+    let methods =
+        (0..settings.count("request_classes")?).map(|i| method(settings, i)).collect::<Result<Vec<_>>>()?;
     if methods.is_empty() {
         return malformed("the start settings name no request_classes");
     }
-    let tenants = (0..p.count("tenants")?)
+    let tenants = (0..settings.count("tenants")?)
         .map(|i| {
             Ok(TenantTerms {
-                quota: p.number_or_zero(&format!("tenants.{i}.quota_per_s"))?,
-                share: p.number_or_zero(&format!("tenants.{i}.share"))?,
+                quota: settings.number_or_zero(&format!("tenants.{i}.quota_per_s"))?,
+                share: settings.number_or_zero(&format!("tenants.{i}.share"))?,
             })
         })
         .collect::<Result<Vec<_>>>()?;
-    let retry_after =
-        if p.flag("bounds.retry_after")? { Some(p.span("bounds.max_retry_after")?) } else { None };
-    let asked = match p.text("discovery")? {
+    let retry_after = if settings.flag("bounds.retry_after")? {
+        Some(settings.duration("bounds.max_retry_after")?)
+    } else {
+        None
+    };
+    let ask_discovery = match settings.text("discovery")? {
         "subscribe" => true,
         "automatic" => false,
         other => {
@@ -228,108 +232,114 @@
         }
     };
     let terms = RolloutTerms {
-        seed: salt,
-        marshal: p.whole("slot_no")? as usize,
-        marshals: p.whole("siblings")? as usize,
-        zone: p.number_or_zero("zone")? as usize,
-        ask_discovery: asked,
+        seed,
+        marshal: settings.whole_number("slot_no")? as usize,
+        marshals: settings.whole_number("siblings")? as usize,
+        zone: settings.number_or_zero("zone")? as usize,
+        ask_discovery,
         methods,
         tenants,
-        over_share_utility: p.number_or_zero("over_share_worth")?,
-        warm_keys: p.flag("family_info.warm_keys")?,
-        kinds: p.words("models").len(),
-        release: release(p)?,
+        over_share_utility: settings.number_or_zero("over_share_worth")?,
+        warm_keys: settings.flag("family_info.warm_keys")?,
+        kinds: settings.items("models").len(),
+        release: release(settings)?,
         rules: RuleTerms {
-            drain_grace: p.span("rules.drain_grace")?,
-            cold_from: p.number("rules.cold_from")?,
-            warm_within: p.span("rules.warm_within")?,
-            fall_multiple: p.number("rules.fall_multiple")?,
-            fall_window: p.span("rules.fall")?,
-            ask_within: Duration::from_micros(p.number_or_zero("rules.ask_within")? as u64),
+            drain_grace: settings.duration("rules.drain_grace")?,
+            cold_from: settings.number("rules.cold_from")?,
+            warm_within: settings.duration("rules.warm_within")?,
+            fall_multiple: settings.number("rules.fall_multiple")?,
+            fall_window: settings.duration("rules.fall")?,
+            ask_within: Duration::from_micros(settings.number_or_zero("rules.ask_within")? as u64),
             list_lease: None,
         },
         limits: LimitTerms {
-            most_picks: p.whole("bounds.most_tries")? as usize,
-            second_copies: p.flag("bounds.second_copies")?,
-            cancel: p.flag("bounds.cancel")?,
-            probes: p.flag("bounds.probes")?,
-            peers: p.flag("bounds.peers")?,
-            idle_kept: p.span("bounds.conn_idle")?,
+            most_picks: settings.whole_number("bounds.most_tries")? as usize,
+            second_copies: settings.flag("bounds.second_copies")?,
+            cancel: settings.flag("bounds.cancel")?,
+            probes: settings.flag("bounds.probes")?,
+            peers: settings.flag("bounds.peers")?,
+            idle_kept: settings.duration("bounds.conn_idle")?,
             retry_after,
         },
     };
-    let words = |key: &str| p.words(key).into_iter().map(str::to_owned).collect();
+    let items = |key: &str| settings.items(key).into_iter().map(str::to_owned).collect();
     let names = |list: &str| -> Result<Vec<String>> {
-        (0..p.count(list)?).map(|i| p.text(&format!("{list}.{i}.name")).map(str::to_owned)).collect()
+        (0..settings.count(list)?)
+            .map(|i| settings.text(&format!("{list}.{i}.name")).map(str::to_owned))
+            .collect()
     };
     let facts = Facts {
         terms,
-        columns: words("load_report.columns"),
+        columns: items("load_report.columns"),
         methods: names("request_classes")?,
         tenants: names("tenants")?,
-        zones: words("azs"),
-        kinds: words("models"),
-        connect: if p.has("bounds.dial_timeout") { p.span("bounds.dial_timeout")? } else { DIAL },
+        zones: items("azs"),
+        kinds: items("models"),
+        connect: if settings.has("bounds.dial_timeout") {
+            settings.duration("bounds.dial_timeout")?
+        } else {
+            DEFAULT_CONNECT_TIMEOUT
+        },
     };
-    check::whole(&facts)?;
+    check::validate(&facts)?;
     Ok(facts)
 }
 
-fn method(p: &Pairs, i: usize) -> Result<MethodTerms> {
+fn method(settings: &Settings, i: usize) -> Result<MethodTerms> {
     let key = |name: &str| format!("request_classes.{i}.{name}");
-    let repeat = match p.text(&key("idempotency"))? {
+    let repeat = match settings.text(&key("idempotency"))? {
         "retryable" => Repeat::Idempotent,
         "fragile" => Repeat::NonIdempotent,
         "dedup" => Repeat::Tokened {
-            group: match p.text(&key("group"))? {
+            group: match settings.text(&key("group"))? {
                 "all" => Group::All,
                 "zone" => Group::Zone,
                 "cell" => Group::Cell,
                 other => return malformed(format!("the group of class {i} is unknown: {other:?}")),
             },
-            window: p.span(&key("repeat_window"))?,
+            window: settings.duration(&key("repeat_window"))?,
         },
         other => return malformed(format!("the idempotency of class {i} is unknown: {other:?}")),
     };
     Ok(MethodTerms {
         repeat,
-        soft_deadline: p.span(&key("objective"))?,
-        stretch: p.number_or_zero(&key("aim_stretch"))?,
-        deadline: p.span(&key("give_up"))?,
-        utility: p.number(&key("value"))?,
-        late_utility: p.number_or_zero(&key("late_value"))?,
-        streamed: p.flag(&key("stream"))?,
+        soft_deadline: settings.duration(&key("objective"))?,
+        stretch: settings.number_or_zero(&key("aim_stretch"))?,
+        deadline: settings.duration(&key("give_up"))?,
+        utility: settings.number(&key("value"))?,
+        late_utility: settings.number_or_zero(&key("late_value"))?,
+        streamed: settings.flag(&key("stream"))?,
     })
 }
 
-fn release(p: &Pairs) -> Result<ReleaseTerms> {
+fn release(settings: &Settings) -> Result<ReleaseTerms> {
     let key = |name: &str| format!("family_info.{name}");
-    let control = match p.text(&key("control"))? {
+    let control = match settings.text(&key("control"))? {
         "any" | "share" => Control::Votes,
         "timer" => Control::Clock,
         other => return malformed(format!("the start setting family_info.control is unknown: {other:?}")),
     };
-    let by_method = match p.text(&key("counts"))? {
+    let by_method = match settings.text(&key("counts"))? {
         "all" => false,
         "class" => true,
         other => return malformed(format!("the start setting family_info.counts is unknown: {other:?}")),
     };
     Ok(ReleaseTerms {
         control,
-        on_votes: p.whole(&key("on_votes"))? as usize,
-        back_votes: p.whole(&key("votes_to_revert"))? as usize,
-        shares: p.numbers(&key("shares"))?,
-        caps: p.numbers(&key("exposure_caps"))?,
-        window: p.span(&key("span"))?,
-        free: p.number(&key("free"))?,
+        on_votes: settings.whole_number(&key("on_votes"))? as usize,
+        back_votes: settings.whole_number(&key("votes_to_revert"))? as usize,
+        shares: settings.numbers(&key("shares"))?,
+        caps: settings.numbers(&key("exposure_caps"))?,
+        window: settings.duration(&key("span"))?,
+        free: settings.number(&key("free"))?,
         by_method,
-        guarded_stages: p.number_or_zero(&key("safe_only_stages"))? as usize,
-        one_way: p.flag(&key("forward_only"))?,
-        in_place: p.text(&key("replace_mode"))? == "in_place",
-        bake: p.span(&key("min_dwell"))?,
-        vote_life: p.span(&key("vote_stands"))?,
-        vote_wait: p.span(&key("answer_wait"))?,
-        vote_rate: p.number(&key("api_rate"))?,
-        flag_share: p.number_or_zero(&key("flag_share"))?,
+        guarded_stages: settings.number_or_zero(&key("safe_only_stages"))? as usize,
+        one_way: settings.flag(&key("forward_only"))?,
+        in_place: settings.text(&key("replace_mode"))? == "in_place",
+        bake: settings.duration(&key("min_dwell"))?,
+        vote_life: settings.duration(&key("vote_stands"))?,
+        vote_wait: settings.duration(&key("answer_wait"))?,
+        vote_rate: settings.number(&key("api_rate"))?,
+        flag_share: settings.number_or_zero(&key("flag_share"))?,
     })
 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -56,17 +56,17 @@
 }
 
 fn stage(words: &[&str]) -> Option<Stage> {
-    let [build, stage, mode, cap, age] = words else { return None };
+    let [build, stage, course_word, cap, age_ms] = words else { return None };
     let cap = number(cap).filter(|cap| *cap <= 1.0)?;
     let (build, stage) = (build.parse().ok()?, stage.parse().ok()?);
-    Some(Stage { build, stage, course: course(mode)?, cap, age_ms: number(age)? as u64 })
+    Some(Stage { build, stage, course: course(course_word)?, cap, age_ms: number(age_ms)? as u64 })
 }
 
 /// Reads the rollout stage from the platform's config file.
 ///
 /// # Errors
 /// Returns a sentence that names the keys and an example.
-pub fn stage_of(news: &Value) -> Result<Stage, String> {
+pub fn stage_from_json(news: &Value) -> Result<Stage, String> {
     const KEYS: [&str; 5] = ["release", "tranche", "mode", "exposure", "old_ms"];
     let word = |key: &str| match &news[key] {
         Value::String(text) => text.clone(),
@@ -82,10 +82,11 @@
 /// # Errors
 /// Returns a sentence that quotes the line if it is malformed.
 pub fn line(text: &[u8]) -> Result<Line, String> {
-    let shown = || format!("malformed line from the rollout controller: {:?}", String::from_utf8_lossy(text));
-    let Ok(plain) = std::str::from_utf8(text) else { return Err(shown()) };
-    let words: Vec<&str> = plain.split(' ').collect();
-    let read = match &words[..] {
+    let malformed =
+        || format!("malformed line from the rollout controller: {:?}", String::from_utf8_lossy(text));
+    let Ok(text) = std::str::from_utf8(text) else { return Err(malformed()) };
+    let words: Vec<&str> = text.split(' ').collect();
+    let parsed = match &words[..] {
         ["OK"] => Some(Line::Done(None)),
         ["OK", words @ ..] => stage(words).map(|s| Line::Done(Some(s))),
         ["ERR", "limit"] => Some(Line::Refused(Counted::Full)),
@@ -94,23 +95,23 @@
         ["*"] => Some(Line::Alive),
         ["*", "ROLLOUT", words @ ..] => stage(words).map(Line::Stage),
         ["*", "SAMPLE", words @ ..] => sums(words).map(Line::Sums),
-        ["*", "DISPUTE", unit, method, age] => number(age).map(|age| {
+        ["*", "DISPUTE", unit, method, age_ms] => number(age_ms).map(|age_ms| {
             let (unit, method) = ((*unit).to_owned(), (*method).to_owned());
-            Line::Disputed { unit, method, age_ms: age as u64 }
+            Line::Disputed { unit, method, age_ms: age_ms as u64 }
         }),
         _ => None,
     };
-    read.ok_or_else(shown)
+    parsed.ok_or_else(malformed)
 }
 
 fn sums(words: &[&str]) -> Option<Sums> {
-    let [build, method, seen, broken, took, age] = words else { return None };
+    let [build, method, picks, failed, mean_ms, age_ms] = words else { return None };
     Some(Sums {
         build: build.parse().ok()?,
         method: (*method).to_owned(),
-        picks: seen.parse().ok()?,
-        failed: broken.parse().ok()?,
-        mean_ms: number(took)?,
-        age_ms: number(age)? as u64,
+        picks: picks.parse().ok()?,
+        failed: failed.parse().ok()?,
+        mean_ms: number(mean_ms)?,
+        age_ms: number(age_ms)? as u64,
     })
 }
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -13,7 +13,7 @@
 pub const LIST_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
-struct Page {
+struct Update {
     revision: u64,
     complete: bool,
     members: Vec<Member>,
@@ -30,14 +30,14 @@
     #[serde(default)]
     cell: f64,
     phase: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
     up_since_ms: f64,
     image_id: f64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
@@ -72,7 +72,7 @@
 
     /// Address (`host:port`) of the member with this id.
     pub fn place(&self, id: &str) -> Option<String> {
-        self.members.get(id).map(|m| format!("{}:{}", m.host, m.port))
+        self.members.get(id).map(|member| format!("{}:{}", member.host, member.port))
     }
 
     /// Request target of the next query: changes since the known revision, held by the server for up to `hold_ms`, or a
@@ -89,39 +89,42 @@
     /// # Errors
     /// Returns a sentence on what is malformed; no member has changed then.
     pub fn take(&mut self, text: &str) -> Result<(), String> {
-        let page: Page = serde_json::from_str(text).map_err(|e| format!("malformed member list: {e}"))?;
-        if !page.complete && self.revision.is_none_or(|known| page.revision < known) {
+        let update: Update = serde_json::from_str(text).map_err(|e| format!("malformed member list: {e}"))?;
+        if !update.complete && self.revision.is_none_or(|known| update.revision < known) {
             // These changes have another base than ours, for example after a restart of the member list. Clearing the
             // revision makes the next request fetch a full snapshot.
             let known = self.revision.take().map_or("none".to_owned(), |known| known.to_string());
-            let to = page.revision;
+            let target = update.revision;
             return Err(format!(
-                "member list: changes up to revision {to} cannot be applied to known revision {known}"
+                "member list: changes up to revision {target} cannot be applied to known revision {known}"
             ));
         }
-        let mut members = if page.complete { BTreeMap::new() } else { self.members.clone() };
-        for m in page.members {
-            if m.phase == "left" {
-                members.remove(&m.id);
+        let mut members = if update.complete { BTreeMap::new() } else { self.members.clone() };
+        for member in update.members {
+            if member.phase == "left" {
+                members.remove(&member.id);
                 continue;
             }
-            let Ok(addr) = m.host_port.parse::<SocketAddr>() else {
-                return Err(format!("member {}: host_port is {:?}, not address:port", m.id, m.host_port));
+            let Ok(address) = member.host_port.parse::<SocketAddr>() else {
+                return Err(format!(
+                    "member {}: host_port is {:?}, not address:port",
+                    member.id, member.host_port
+                ));
             };
             let listed = Listed {
-                host: addr.ip().to_string(),
-                port: addr.port(),
-                state: if m.phase == "active" { State::Ready } else { State::Draining },
-                build: m.image_id as u32,
-                zone: m.locality,
-                cell: m.cell as u16,
-                kind: m.flavor,
-                power: m.size,
-                started_ms: (m.up_since_ms > 0.0).then_some(m.up_since_ms as u64),
+                host: address.ip().to_string(),
+                port: address.port(),
+                state: if member.phase == "active" { State::Ready } else { State::Draining },
+                build: member.image_id as u32,
+                zone: member.locality,
+                cell: member.cell as u16,
+                kind: member.flavor,
+                power: member.size,
+                started_ms: (member.up_since_ms > 0.0).then_some(member.up_since_ms as u64),
             };
-            members.insert(m.id, listed);
+            members.insert(member.id, listed);
         }
-        (self.revision, self.members) = (Some(page.revision), members);
+        (self.revision, self.members) = (Some(update.revision), members);
         Ok(())
     }
 }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -38,18 +38,18 @@
     let top: Value = serde_json::from_str(text).map_err(|e| {
         format!("{file}:{}:{}: this is not JSON ({e}): write one object", e.line(), e.column())
     })?;
-    let complain = |key: &str, instead: &str| format!("{file}: {key} cannot be read: write {instead}");
+    let invalid = |key: &str, instead: &str| format!("{file}: {key} cannot be read: write {instead}");
     let address = |key: &str, value: &Value| -> Result<SocketAddr, String> {
-        let read = value.as_str().and_then(|text| text.parse().ok());
-        read.ok_or_else(|| complain(key, "\"address:port\", as in \"127.0.0.1:5000\""))
+        let parsed = value.as_str().and_then(|text| text.parse().ok());
+        parsed.ok_or_else(|| invalid(key, "\"address:port\", as in \"127.0.0.1:5000\""))
     };
     let seed = match &top["seed"] {
         Value::String(hex) => u64::from_str_radix(hex, 16).ok(),
         number => number.as_u64(),
     };
-    let seed = seed.ok_or_else(|| complain("seed", "up to 16 hexadecimal digits in quotes"))?;
+    let seed = seed.ok_or_else(|| invalid("seed", "up to 16 hexadecimal digits in quotes"))?;
     let facts = ivydrift_facts::read_object(seed, &top["settings"])
-        .map_err(|wrong| format!("{file}: settings: {wrong}"))?;
+        .map_err(|error| format!("{file}: settings: {error}"))?;
     let places = Places {
         listen: address("listen", &top["listen"])?,
         node_list: address("discovery", &top["discovery"])?,
@@ -62,15 +62,15 @@
         number => number
             .as_u64()
             .filter(|n| *n >= 64)
-            .ok_or_else(|| complain("limits.sockets", "a whole number of 64 or more"))?,
+            .ok_or_else(|| invalid("limits.sockets", "a whole number of 64 or more"))?,
     };
     let mut known = members::Catalog::default();
     if !top["known"].is_null() {
-        known.take(&top["known"].to_string()).map_err(|why| format!("{file}: known: {why}"))?;
+        known.take(&top["known"].to_string()).map_err(|error| format!("{file}: known: {error}"))?;
     }
     let news = match &top["pipeline"]["news"] {
         Value::Null => None,
-        news => Some(desk::stage_of(news).map_err(|why| format!("{file}: pipeline.news: {why}"))?),
+        news => Some(desk::stage_from_json(news).map_err(|error| format!("{file}: pipeline.news: {error}"))?),
     };
     let Facts { terms: mut rollout, methods, tenants, zones, kinds, connect, .. } = facts;
     // The platform offers no channel between marshals.
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -134,11 +134,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// The same zone.
-    Here,
+    SameZone,
     /// Another zone of the same region.
-    Near,
+    SameRegion,
     /// Another region.
-    Far,
+    OtherRegion,
 }
 
 impl Terms {
@@ -146,9 +146,9 @@
     /// is far from all others.
     pub fn distance(&self, a: usize, b: usize) -> Distance {
         match (self.regions.get(a), self.regions.get(b)) {
-            _ if a == b => Distance::Here,
-            (Some(a), Some(b)) if a == b => Distance::Near,
-            _ => Distance::Far,
+            _ if a == b => Distance::SameZone,
+            (Some(a), Some(b)) if a == b => Distance::SameRegion,
+            _ => Distance::OtherRegion,
         }
     }
 }
@@ -158,108 +158,111 @@
 /// # Errors
 /// Returns all errors of the text, each with file, line, column and what to write instead.
 pub fn read(file: &str, text: &str) -> Result<Terms, Complaints> {
-    Page::new(file, text).read(terms)
+    Page::new(file, text).read(from_sheet)
 }
 
 fn address(sheet: &Sheet, key: &str) -> SocketAddr {
     let form = "\"address:port\", as in \"127.0.0.1:7100\"";
-    let read = |text: &str| text.parse().ok();
-    sheet.parsed(key, None, form, read).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
+    let parse_address = |text: &str| text.parse().ok();
+    sheet.parsed(key, None, form, parse_address).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn terms(top: &Sheet) -> Terms {
+fn from_sheet(top: &Sheet) -> Terms {
     let zones = top.texts("zones", Some(vec!["here".to_owned()]));
     let regions = regions(top, &zones);
     let kinds = top.texts("kinds", Some(vec!["plain".to_owned()]));
-    let (marshal, marshals, zone, seed) = top.block("marshal", |s| {
-        let marshals = s.whole("of", Some(1), 1..=10_000) as usize;
-        let number = s.whole("number", Some(0), 0..=9_999) as usize;
+    let (marshal, marshals, zone, seed) = top.block("marshal", |block| {
+        let marshals = block.whole("of", Some(1), 1..=10_000) as usize;
+        let number = block.whole("number", Some(0), 0..=9_999) as usize;
         if number >= marshals {
-            s.complain(
+            block.complain(
                 Some("number"),
                 format!("number is {number}: write 0 to {}, for of = {marshals}", marshals - 1),
             );
         }
-        let zone = s.text("zone", zones.first().map(String::as_str), "one of the zones");
-        let at = zones.iter().position(|z| *z == zone);
-        if at.is_none() {
-            s.complain(
+        let zone = block.text("zone", zones.first().map(String::as_str), "one of the zones");
+        let index = zones.iter().position(|known| *known == zone);
+        if index.is_none() {
+            block.complain(
                 Some("zone"),
                 format!("zone {zone:?} is not among zones: write one of {}", zones.join(", ")),
             );
         }
-        (number, marshals, at.unwrap_or(0), s.whole("seed", Some(number as u64 + 1), 0..=u64::MAX))
+        (number, marshals, index.unwrap_or(0), block.whole("seed", Some(number as u64 + 1), 0..=u64::MAX))
     });
-    let places = top.block("places", |s| {
+    let places = top.block("places", |block| {
         let peer = |text: &String| match text.parse() {
             Ok(addr) => Some(addr),
             Err(_) => {
-                s.complain(Some("peers"), format!("peers holds {text:?}: write \"address:port\" for each"));
+                block.complain(
+                    Some("peers"),
+                    format!("peers holds {text:?}: write \"address:port\" for each"),
+                );
                 None
             }
         };
-        let peers: Vec<SocketAddr> = s.texts("peers", Some(vec![])).iter().filter_map(peer).collect();
+        let peers: Vec<SocketAddr> = block.texts("peers", Some(vec![])).iter().filter_map(peer).collect();
         if !peers.is_empty() && peers.len() != marshals {
-            let what =
+            let message =
                 format!("peers has {} addresses: write one for each of the {marshals} marshals", peers.len());
-            s.complain(Some("peers"), what);
+            block.complain(Some("peers"), message);
         }
         Places {
-            listen: address(s, "listen"),
-            node_list: address(s, "node_list"),
-            service: s.text("service", None, "the service's name in the node list"),
-            release_desk: address(s, "release_desk"),
+            listen: address(block, "listen"),
+            node_list: address(block, "node_list"),
+            service: block.text("service", None, "the service's name in the node list"),
+            release_desk: address(block, "release_desk"),
             peers,
         }
     });
-    let methods = top.labelled("method", |name, s| {
-        let value = method(s);
-        (name.to_owned(), (value, services::of(s, &places.service)))
+    let methods = top.labelled("method", |name, block| {
+        let value = method(block);
+        (name.to_owned(), (value, services::of_method(block, &places.service)))
     });
     if methods.is_empty() {
         top.complain(None, "no method is named: write at least one method \"its-path\" { ... }");
     }
-    let tenants = top.labelled("tenant", |name, s| {
-        let quota = s.number("quota", None, 0.0..=f64::INFINITY);
-        (name.to_owned(), TenantTerms { quota, share: s.number("share", None, 0.0..=1.0) })
+    let tenants = top.labelled("tenant", |name, block| {
+        let quota = block.number("quota", None, 0.0..=f64::INFINITY);
+        (name.to_owned(), TenantTerms { quota, share: block.number("share", None, 0.0..=1.0) })
     });
-    let bounds = top.block("bounds", |s| Bounds {
-        clients: s.whole("clients", Some(10_000), 1..=1_000_000) as usize,
+    let bounds = top.block("bounds", |block| Bounds {
+        clients: block.whole("clients", Some(10_000), 1..=1_000_000) as usize,
         crowd: usize::MAX,
         descriptors: None,
-        body: s.whole("body_kib", Some(64), 1..=16_384) as usize * 1024,
-        longest_body: s.whole("longest_body_kib", Some(65_536), 1..=1 << 30) * 1024,
-        handshakes: s.whole("handshakes", Some(2000), 1..=1_000_000) as usize,
-        slow_client: s.span("slow_client", Some(Duration::from_secs(10))),
-        idle_client: s.span("idle_client", Some(Duration::from_secs(300))),
+        body: block.whole("body_kib", Some(64), 1..=16_384) as usize * 1024,
+        longest_body: block.whole("longest_body_kib", Some(65_536), 1..=1 << 30) * 1024,
+        handshakes: block.whole("handshakes", Some(2000), 1..=1_000_000) as usize,
+        slow_client: block.span("slow_client", Some(Duration::from_secs(10))),
+        idle_client: block.span("idle_client", Some(Duration::from_secs(300))),
         first_message: None,
         settle: Duration::ZERO,
         list_hold: Duration::from_secs(10),
         ready_latest: None,
         linger: Duration::ZERO,
-        connect: s.span("connect", Some(Duration::from_millis(250))),
-        idle_to_node: s.whole("idle_to_node", Some(64), 1..=10_000) as usize,
+        connect: block.span("connect", Some(Duration::from_millis(250))),
+        idle_to_node: block.whole("idle_to_node", Some(64), 1..=10_000) as usize,
         idle_to_nodes: usize::MAX,
-        reserve: s.span("reserve", Some(Duration::from_millis(20))),
-        workers: s.whole("workers", Some(2), 1..=256) as usize,
+        reserve: block.span("reserve", Some(Duration::from_millis(20))),
+        workers: block.whole("workers", Some(2), 1..=256) as usize,
     });
-    let limits = top.block("limits", |s| LimitTerms {
-        most_picks: s.whole("most_picks", Some(4), 1..=100) as usize,
-        second_copies: s.flag("second_copies", Some(false)),
-        cancel: s.flag("cancel", Some(true)),
+    let limits = top.block("limits", |block| LimitTerms {
+        most_picks: block.whole("most_picks", Some(4), 1..=100) as usize,
+        second_copies: block.flag("second_copies", Some(false)),
+        cancel: block.flag("cancel", Some(true)),
         probes: false,
         peers: !places.peers.is_empty(),
-        idle_kept: s.span("idle_kept", Some(Duration::from_secs(30))),
-        retry_after: Some(s.span("retry_after", Some(Duration::from_secs(2)))).filter(|d| !d.is_zero()),
+        idle_kept: block.span("idle_kept", Some(Duration::from_secs(30))),
+        retry_after: Some(block.span("retry_after", Some(Duration::from_secs(2)))).filter(|d| !d.is_zero()),
     });
     let rules = top.block("rules", rules);
-    let release = top.block("release", |s| release(s, marshals));
-    let names = methods.iter().map(|m| &m.0).collect();
-    let (method_terms, serves): (_, Vec<Arc<str>>) = methods.into_iter().map(|m| m.1).unzip();
+    let release = top.block("release", |block| release(block, marshals));
+    let names = methods.iter().map(|method| &method.0).collect();
+    let (method_terms, serves): (_, Vec<Arc<str>>) = methods.into_iter().map(|method| method.1).unzip();
     let services = services::read(top, &places.service, &serves);
     let subset = subset::subset(top, &zones, (marshal, marshals, zone));
     let (tenant_names, tenant_terms) =
-        (tenants.iter().map(|t| &t.0).collect(), tenants.iter().map(|t| t.1).collect());
+        (tenants.iter().map(|tenant| &tenant.0).collect(), tenants.iter().map(|tenant| tenant.1).collect());
     let rollout = RolloutTerms {
         seed,
         marshal,
@@ -283,128 +286,133 @@
 /// Reads the blocks `region "north" { zones = [...] }` into the region index of each zone. Without any such block all
 /// zones are in one region.
 fn regions(top: &Sheet, zones: &[String]) -> Vec<usize> {
-    let named = top.labelled("region", |name, s| (name.to_owned(), s.texts("zones", None)));
-    let mut of: Vec<Option<usize>> = vec![None; zones.len()];
-    for (region, (name, members)) in named.iter().enumerate() {
+    let blocks = top.labelled("region", |name, block| (name.to_owned(), block.texts("zones", None)));
+    let mut region_of: Vec<Option<usize>> = vec![None; zones.len()];
+    for (region, (name, members)) in blocks.iter().enumerate() {
         for zone in members {
-            match zones.iter().position(|z| z == zone) {
-                Some(at) if of[at].is_none() => of[at] = Some(region),
+            match zones.iter().position(|known| known == zone) {
+                Some(index) if region_of[index].is_none() => region_of[index] = Some(region),
                 Some(_) => {
-                    let what =
+                    let message =
                         format!("zone {zone:?} is in two regions, {name:?} is the second: list it in one");
-                    top.complain(Some("zones"), what);
+                    top.complain(Some("zones"), message);
                 }
                 None => {
-                    let what = format!(
+                    let message = format!(
                         "region {name:?} names zone {zone:?}, which is not among zones: write one of {}",
                         zones.join(", ")
                     );
-                    top.complain(Some("zones"), what);
+                    top.complain(Some("zones"), message);
                 }
             }
         }
     }
-    if !named.is_empty() {
-        let left: Vec<&str> =
-            zones.iter().zip(&of).filter(|(_, r)| r.is_none()).map(|(z, _)| &z[..]).collect();
-        if !left.is_empty() {
-            let what = format!("no region contains zone {}: list each zone in one region", left.join(", "));
-            top.complain(Some("zones"), what);
+    if !blocks.is_empty() {
+        let unassigned: Vec<&str> = zones
+            .iter()
+            .zip(&region_of)
+            .filter(|(_, region)| region.is_none())
+            .map(|(zone, _)| &zone[..])
+            .collect();
+        if !unassigned.is_empty() {
+            let message =
+                format!("no region contains zone {}: list each zone in one region", unassigned.join(", "));
+            top.complain(Some("zones"), message);
         }
     }
-    of.into_iter().map(|r| r.unwrap_or(0)).collect()
+    region_of.into_iter().map(|region| region.unwrap_or(0)).collect()
 }
 
 /// Reads the block `rules`.
-pub fn rules(s: &Sheet) -> RuleTerms {
+pub fn rules(block: &Sheet) -> RuleTerms {
     RuleTerms {
-        drain_grace: s.span("drain_grace", Some(Duration::from_secs(1))),
-        cold_from: s.number("cold_from", Some(0.4), 0.01..=1.0),
-        warm_within: s.span("warm_within", Some(Duration::from_secs(5))),
-        fall_multiple: s.number("fall_multiple", Some(3.0), 1.0..=1000.0),
-        fall_window: s.span("fall_window", Some(Duration::from_secs(1))),
-        ask_within: s.span("ask_within", Some(Duration::from_secs(10))),
+        drain_grace: block.span("drain_grace", Some(Duration::from_secs(1))),
+        cold_from: block.number("cold_from", Some(0.4), 0.01..=1.0),
+        warm_within: block.span("warm_within", Some(Duration::from_secs(5))),
+        fall_multiple: block.number("fall_multiple", Some(3.0), 1.0..=1000.0),
+        fall_window: block.span("fall_window", Some(Duration::from_secs(1))),
+        ask_within: block.span("ask_within", Some(Duration::from_secs(10))),
         list_lease: None,
     }
 }
 
 /// Values of the key `repeat`: whether a method may run more than once.
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum RepeatKind {
     Idempotent,
     Tokened,
     NonIdempotent,
 }
 
 /// Reads a `method` block.
-pub fn method(s: &Sheet) -> MethodTerms {
-    let kinds = [
-        ("idempotent", Kind::Idempotent),
-        ("tokened", Kind::Tokened),
-        ("non-idempotent", Kind::NonIdempotent),
+pub fn method(block: &Sheet) -> MethodTerms {
+    let repeat_kinds = [
+        ("idempotent", RepeatKind::Idempotent),
+        ("tokened", RepeatKind::Tokened),
+        ("non-idempotent", RepeatKind::NonIdempotent),
     ];
-    let repeat = match s.one_of("repeat", None, &kinds) {
-        Kind::Idempotent => Repeat::Idempotent,
-        Kind::NonIdempotent => Repeat::NonIdempotent,
-        Kind::Tokened => {
+    let repeat = match block.one_of("repeat", None, &repeat_kinds) {
+        RepeatKind::Idempotent => Repeat::Idempotent,
+        RepeatKind::NonIdempotent => Repeat::NonIdempotent,
+        RepeatKind::Tokened => {
             let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
             Repeat::Tokened {
-                group: s.one_of("group", Some(Group::All), &groups),
-                window: s.span("window", None),
+                group: block.one_of("group", Some(Group::All), &groups),
+                window: block.span("window", None),
             }
         }
     };
-    let (soft_deadline, deadline) = (s.span("soft_deadline", None), s.span("deadline", None));
+    let (soft_deadline, deadline) = (block.span("soft_deadline", None), block.span("deadline", None));
     if soft_deadline > deadline {
-        s.complain(Some("soft_deadline"), "soft_deadline is after deadline: write at most the deadline");
+        block.complain(Some("soft_deadline"), "soft_deadline is after deadline: write at most the deadline");
     }
-    if soft_deadline.is_zero() && s.has("soft_deadline") {
-        s.complain(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
+    if soft_deadline.is_zero() && block.has("soft_deadline") {
+        block.complain(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
     }
     MethodTerms {
         repeat,
         soft_deadline,
         stretch: 0.0,
         deadline,
-        utility: s.number("utility", Some(1.0), 0.0..=1e9),
-        late_utility: s.number("late_utility", Some(0.0), 0.0..=1.0),
-        streamed: s.flag("streamed", Some(false)),
+        utility: block.number("utility", Some(1.0), 0.0..=1e9),
+        late_utility: block.number("late_utility", Some(0.0), 0.0..=1.0),
+        streamed: block.flag("streamed", Some(false)),
     }
 }
 
 /// Reads the block `release`. The default vote counts depend on the number of marshals.
-pub fn release(s: &Sheet, marshals: usize) -> ReleaseTerms {
-    let shares = s.numbers("shares", Some(vec![0.1, 0.35, 1.0]), 0.0..=1.0);
-    let caps = s.numbers("caps", Some(vec![0.14, 0.49, 1.0]), 0.0..=1.0);
+pub fn release(block: &Sheet, marshals: usize) -> ReleaseTerms {
+    let shares = block.numbers("shares", Some(vec![0.1, 0.35, 1.0]), 0.0..=1.0);
+    let caps = block.numbers("caps", Some(vec![0.14, 0.49, 1.0]), 0.0..=1.0);
     if shares.len() != caps.len() || shares.is_empty() {
-        let what = format!(
+        let message = format!(
             "caps has {} stages and shares has {}: write one of each for every stage",
             caps.len(),
             shares.len()
         );
-        s.complain(Some("caps"), what);
+        block.complain(Some("caps"), message);
     }
-    let most = marshals as u64;
+    let marshals = marshals as u64;
     ReleaseTerms {
-        control: s.one_of(
+        control: block.one_of(
             "control",
             Some(Control::Votes),
             &[("votes", Control::Votes), ("clock", Control::Clock)],
         ),
-        on_votes: s.whole("on_votes", Some(most.div_ceil(2)), 1..=most) as usize,
-        back_votes: s.whole("back_votes", Some(most.div_ceil(3)), 1..=most) as usize,
+        on_votes: block.whole("on_votes", Some(marshals.div_ceil(2)), 1..=marshals) as usize,
+        back_votes: block.whole("back_votes", Some(marshals.div_ceil(3)), 1..=marshals) as usize,
         shares,
         caps,
-        window: s.span("window", Some(Duration::from_secs(3))),
-        free: s.number("free", Some(2.0), 0.0..=1e6),
-        by_method: s.flag("by_method", Some(false)),
-        guarded_stages: s.whole("guarded_stages", Some(0), 0..=100) as usize,
-        one_way: s.flag("one_way", Some(false)),
-        in_place: s.flag("in_place", Some(false)),
-        bake: s.span("bake", Some(Duration::from_secs(1))),
-        vote_life: s.span("vote_life", Some(Duration::from_secs(4))),
-        vote_wait: s.span("vote_wait", Some(Duration::from_millis(800))),
-        vote_rate: s.number("vote_rate", Some(80.0), 0.1..=1e6),
-        flag_share: s.number("flag_share", Some(0.0), 0.0..=1.0),
+        window: block.span("window", Some(Duration::from_secs(3))),
+        free: block.number("free", Some(2.0), 0.0..=1e6),
+        by_method: block.flag("by_method", Some(false)),
+        guarded_stages: block.whole("guarded_stages", Some(0), 0..=100) as usize,
+        one_way: block.flag("one_way", Some(false)),
+        in_place: block.flag("in_place", Some(false)),
+        bake: block.span("bake", Some(Duration::from_secs(1))),
+        vote_life: block.span("vote_life", Some(Duration::from_secs(4))),
+        vote_wait: block.span("vote_wait", Some(Duration::from_millis(800))),
+        vote_rate: block.number("vote_rate", Some(80.0), 0.1..=1e6),
+        flag_share: block.number("flag_share", Some(0.0), 0.0..=1.0),
     }
 }
--- a/crates/terms/src/names.rs
+++ b/crates/terms/src/names.rs
@@ -10,27 +10,27 @@
 /// Names stored in one string, with a sorted index for binary search: 12 bytes per name besides its text, and no
 /// choice of names can degrade lookups. Clones share the data.
 #[derive(Clone, Default)]
-pub struct Names(Arc<Held>);
+pub struct Names(Arc<Storage>);
 
 #[derive(Default)]
-struct Held {
+struct Storage {
     text: String,
     /// End offset of each name in `text`.
     ends: Vec<usize>,
     /// Indices sorted by name, equal names by index. `u32` suffices: no config has four billion names.
-    order: Vec<u32>,
+    sorted: Vec<u32>,
 }
 
-impl Held {
-    fn get(&self, at: usize) -> &str {
-        let start = at.checked_sub(1).map_or(0, |before| self.ends[before]);
-        &self.text[start..self.ends[at]]
+impl Storage {
+    fn get(&self, index: usize) -> &str {
+        let start = index.checked_sub(1).map_or(0, |previous| self.ends[previous]);
+        &self.text[start..self.ends[index]]
     }
 }
 
 fn compare(a: &str, b: &str) -> Ordering {
     #[cfg(test)]
-    tests::count();
+    tests::count_comparison();
     a.cmp(b)
 }
 
@@ -43,54 +43,54 @@
         self.len() == 0
     }
 
-    pub fn get(&self, at: usize) -> Option<&str> {
-        (at < self.len()).then(|| self.0.get(at))
+    pub fn get(&self, index: usize) -> Option<&str> {
+        (index < self.len()).then(|| self.0.get(index))
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &str> {
-        (0..self.len()).map(|at| self.0.get(at))
+        (0..self.len()).map(|index| self.0.get(index))
     }
 
     /// Returns the index of a name, the lowest one if it occurs several times.
     pub fn find(&self, name: &str) -> Option<usize> {
-        let order = &self.0.order;
-        let at = order.partition_point(|&i| compare(self.0.get(i as usize), name).is_lt());
-        order.get(at).map(|&i| i as usize).filter(|&i| self.0.get(i) == name)
+        let sorted = &self.0.sorted;
+        let index = sorted.partition_point(|&i| compare(self.0.get(i as usize), name).is_lt());
+        sorted.get(index).map(|&i| i as usize).filter(|&i| self.0.get(i) == name)
     }
 
     /// Appends the names of `more` that are not in this list. Returns the merged list and the index in it of each name of
     /// `more`.
-    pub fn with(&self, more: &Names) -> (Names, Vec<usize>) {
-        let mut fresh = Vec::new();
-        let mut places: Vec<usize> = Vec::with_capacity(more.len());
-        for (i, name) in more.iter().enumerate() {
-            let twice = || more.find(name).filter(|first| *first < i).map(|first| places[first]);
-            let place = self.find(name).or_else(twice).unwrap_or_else(|| {
-                fresh.push(name);
-                self.len() + fresh.len() - 1
+    pub fn with(&self, other: &Names) -> (Names, Vec<usize>) {
+        let mut added = Vec::new();
+        let mut indices: Vec<usize> = Vec::with_capacity(other.len());
+        for (i, name) in other.iter().enumerate() {
+            let earlier = || other.find(name).filter(|first| *first < i).map(|first| indices[first]);
+            let index = self.find(name).or_else(earlier).unwrap_or_else(|| {
+                added.push(name);
+                self.len() + added.len() - 1
             });
-            places.push(place);
+            indices.push(index);
         }
-        if fresh.is_empty() {
-            return (self.clone(), places);
+        if added.is_empty() {
+            return (self.clone(), indices);
         }
-        (self.iter().chain(fresh).collect(), places)
+        (self.iter().chain(added).collect(), indices)
     }
 }
 
 impl<S: AsRef<str>> FromIterator<S> for Names {
     fn from_iter<I: IntoIterator<Item = S>>(names: I) -> Names {
-        let mut held = Held::default();
+        let mut storage = Storage::default();
         for name in names {
-            held.text.push_str(name.as_ref());
-            held.ends.push(held.text.len());
+            storage.text.push_str(name.as_ref());
+            storage.ends.push(storage.text.len());
         }
-        held.text.shrink_to_fit();
-        held.ends.shrink_to_fit();
-        let mut order: Vec<u32> = (0..held.ends.len() as u32).collect();
-        order.sort_by(|&a, &b| compare(held.get(a as usize), held.get(b as usize)));
-        held.order = order;
-        Names(Arc::new(held))
+        storage.text.shrink_to_fit();
+        storage.ends.shrink_to_fit();
+        let mut sorted: Vec<u32> = (0..storage.ends.len() as u32).collect();
+        sorted.sort_by(|&a, &b| compare(storage.get(a as usize), storage.get(b as usize)));
+        storage.sorted = sorted;
+        Names(Arc::new(storage))
     }
 }
 
--- a/crates/terms/src/services.rs
+++ b/crates/terms/src/services.rs
@@ -8,7 +8,7 @@
 
 /// Maximum length of a service name, which is part of the path and query of requests to the node list and the rollout
 /// controller.
-const NAME: usize = 100;
+const MAX_NAME_BYTES: usize = 100;
 
 /// Limits on the services loaded in addition to [`crate::Places::service`].
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,36 +27,38 @@
     }
 }
 
-/// Reads the service that a `method` block names; `home`, the service of `places`, if it names none.
-pub fn of(method: &Sheet, home: &str) -> Arc<str> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+/// Reads the service that a `method` block names; `default_service`, the service of `places`, if it names none.
+pub fn of_method(method: &Sheet, default_service: &str) -> Arc<str> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let read = |name: &str| {
-        let fits = (1..=NAME).contains(&name.len()) && name.chars().all(plain);
-        fits.then(|| Arc::from(name))
+        let valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(is_allowed);
+        valid.then(|| Arc::from(name))
     };
     let form = "a service's name in the node list: letters, digits, - _ or ., at most 100";
-    method.parsed("service", Some(home.into()), form, read).unwrap_or_else(|| home.into())
+    method
+        .parsed("service", Some(default_service.into()), form, read)
+        .unwrap_or_else(|| default_service.into())
 }
 
-/// Reads the block `services`, and checks that the service of `places` (`home`) has at least one method.
-pub fn read(top: &Sheet, home: &str, serves: &[Arc<str>]) -> ServicesTerms {
-    if !serves.is_empty() && serves.iter().all(|name| **name != *home) {
-        let what = format!(
-            "no method belongs to places.service {home:?}: leave `service` out of at least one method, or write a service \
+/// Reads the block `services`, and checks that the service of `places` (`default_service`) has at least one method.
+pub fn read(top: &Sheet, default_service: &str, serves: &[Arc<str>]) -> ServicesTerms {
+    if !serves.is_empty() && serves.iter().all(|name| **name != *default_service) {
+        let message = format!(
+            "no method belongs to places.service {default_service:?}: leave `service` out of at least one method, or write a service \
              that has a method as places.service"
         );
-        top.complain(None, what);
+        top.complain(None, message);
     }
-    let usual = ServicesTerms::default();
-    top.block("services", |s| {
-        let rest = s.span("rest", Some(usual.rest));
-        if rest < Duration::from_secs(1) && s.has("rest") {
-            s.complain(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
+    let defaults = ServicesTerms::default();
+    top.block("services", |block| {
+        let rest = block.span("rest", Some(defaults.rest));
+        if rest < Duration::from_secs(1) && block.has("rest") {
+            block.complain(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
         }
         ServicesTerms {
-            most: s.whole("most", Some(usual.most as u64), 1..=10_000) as usize,
+            most: block.whole("most", Some(defaults.most as u64), 1..=10_000) as usize,
             rest,
-            bytes: s.whole("kib", Some(usual.bytes as u64 / 1024), 64..=16 << 20) as usize * 1024,
+            bytes: block.whole("kib", Some(defaults.bytes as u64 / 1024), 64..=16 << 20) as usize * 1024,
         }
     })
 }
--- a/crates/terms/src/sheet.rs
+++ b/crates/terms/src/sheet.rs
@@ -13,14 +13,14 @@
 
 /// One error in a file, with its position. `what` says what is wrong and what to write instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Complaint {
+pub struct ConfigError {
     pub file: String,
     pub line: usize,
     pub column: usize,
     pub what: String,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.what)
     }
@@ -28,11 +28,11 @@
 
 /// All errors of one file. `Display` writes one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Complaints(pub Vec<Complaint>);
+pub struct Complaints(pub Vec<ConfigError>);
 
 impl fmt::Display for Complaints {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Complaint::to_string).collect();
+        let lines: Vec<String> = self.0.iter().map(ConfigError::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
@@ -43,12 +43,12 @@
 pub struct Page {
     name: String,
     text: String,
-    found: RefCell<Vec<Complaint>>,
+    errors: RefCell<Vec<ConfigError>>,
 }
 
 impl Page {
     pub fn new(name: &str, text: &str) -> Self {
-        Page { name: name.to_owned(), text: text.to_owned(), found: RefCell::default() }
+        Page { name: name.to_owned(), text: text.to_owned(), errors: RefCell::default() }
     }
 
     /// Parses the file with `read` and returns its result if there were no errors.
@@ -59,46 +59,46 @@
         let body: Body = match hcl_edit::parser::parse_body(&self.text) {
             Ok(body) => body,
             Err(e) => {
-                let at = e.location();
+                let location = e.location();
                 let what = format!("syntax error: {}", e.message());
-                let (line, column) = (at.line(), at.column());
-                return Err(Complaints(vec![Complaint { file: self.name.clone(), line, column, what }]));
+                let (line, column) = (location.line(), location.column());
+                return Err(Complaints(vec![ConfigError { file: self.name.clone(), line, column, what }]));
             }
         };
-        let sheet = Sheet { page: self, body: &body, place: 0..0, used: RefCell::default() };
+        let sheet = Sheet { page: self, body: &body, place: 0..0, known: RefCell::default() };
         let result = read(&sheet);
-        sheet.close();
-        let mut found = self.found.take();
-        if found.is_empty() {
+        sheet.complain_of_unknown_keys();
+        let mut errors = self.errors.take();
+        if errors.is_empty() {
             return Ok(result);
         }
-        found.sort_by_key(|c| (c.line, c.column));
-        found.dedup();
-        Err(Complaints(found))
+        errors.sort_by_key(|error| (error.line, error.column));
+        errors.dedup();
+        Err(Complaints(errors))
     }
 
     /// Records an error at a byte range of the text.
     fn complain(&self, place: &Range<usize>, what: String) {
-        let before = &self.text.as_bytes()[..place.start.min(self.text.len())];
-        let line = before.iter().filter(|&&b| b == b'\n').count() + 1;
-        let column = before.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
-        self.found.borrow_mut().push(Complaint { file: self.name.clone(), line, column, what });
+        let preceding = &self.text.as_bytes()[..place.start.min(self.text.len())];
+        let line = preceding.iter().filter(|&&b| b == b'\n').count() + 1;
+        let column = preceding.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
+        self.errors.borrow_mut().push(ConfigError { file: self.name.clone(), line, column, what });
     }
 }
 
 /// Reader for the top level of a file or for one block. A missing or invalid value is recorded as an error, and the
 /// reader returns the default or a placeholder so that the rest of the file is checked too.
 ///
-/// In all readers `or` is the default for an absent key; without it the key is required.
+/// In all readers `fallback` is the default for an absent or invalid value; without it the key is required.
 pub struct Sheet<'a> {
     page: &'a Page,
     body: &'a Body,
     place: Range<usize>,
-    used: RefCell<BTreeSet<String>>,
+    known: RefCell<BTreeSet<String>>,
 }
 
 /// Formats a value for an error message, cut to 40 characters.
-fn shown(value: &Expression) -> String {
+fn excerpt(value: &Expression) -> String {
     value.to_string().trim().chars().take(40).collect()
 }
 
@@ -115,99 +115,103 @@
     }
 
     fn find(&self, key: &str) -> Option<&'a Attribute> {
-        self.used.borrow_mut().insert(key.to_owned());
+        self.known.borrow_mut().insert(key.to_owned());
         self.body.get_attribute(key)
     }
 
     /// Reads a value with `read`. If that fails, records an error saying that the value should be `form`.
-    fn take<T>(
-        &self, key: &str, or: Option<T>, form: &str, read: impl Fn(&Expression) -> Option<T>,
+    fn read_value<T>(
+        &self, key: &str, fallback: Option<T>, form: &str, read: impl Fn(&Expression) -> Option<T>,
     ) -> Option<T> {
         let Some(attr) = self.find(key) else {
-            if or.is_none() {
+            if fallback.is_none() {
                 self.complain(None, format!("{key} is missing: write {key} = {form}"));
             }
-            return or;
+            return fallback;
         };
         let value = read(&attr.value);
         if value.is_none() {
             let place = attr.value.span().unwrap_or(0..0);
-            self.page.complain(&place, format!("{key} is {}: write {form}", shown(&attr.value)));
+            self.page.complain(&place, format!("{key} is {}: write {form}", excerpt(&attr.value)));
         }
-        value.or(or)
+        value.or(fallback)
     }
 
     /// Reads a number within `range`.
-    pub fn number(&self, key: &str, or: Option<f64>, range: RangeInclusive<f64>) -> f64 {
-        let top =
+    pub fn number(&self, key: &str, fallback: Option<f64>, range: RangeInclusive<f64>) -> f64 {
+        let upper =
             if range.end().is_finite() { format!(" to {}", range.end()) } else { " or more".to_owned() };
-        let form = format!("a number, {}{top}", range.start());
-        let read = |e: &Expression| e.as_number()?.as_f64().filter(|v| range.contains(v));
-        self.take(key, or, &form, read).unwrap_or(*range.start())
+        let form = format!("a number, {}{upper}", range.start());
+        let read = |expr: &Expression| expr.as_number()?.as_f64().filter(|v| range.contains(v));
+        self.read_value(key, fallback, &form, read).unwrap_or(*range.start())
     }
 
     /// Reads a whole number within `range`.
-    pub fn whole(&self, key: &str, or: Option<u64>, range: RangeInclusive<u64>) -> u64 {
+    pub fn whole(&self, key: &str, fallback: Option<u64>, range: RangeInclusive<u64>) -> u64 {
         let form = format!("a whole number, {} to {}", range.start(), range.end());
-        let read = |e: &Expression| e.as_number()?.as_u64().filter(|v| range.contains(v));
-        self.take(key, or, &form, read).unwrap_or(*range.start())
+        let read = |expr: &Expression| expr.as_number()?.as_u64().filter(|v| range.contains(v));
+        self.read_value(key, fallback, &form, read).unwrap_or(*range.start())
     }
 
     /// Reads a duration with its unit.
-    pub fn span(&self, key: &str, or: Option<Duration>) -> Duration {
+    pub fn span(&self, key: &str, fallback: Option<Duration>) -> Duration {
         let form = "a duration with its unit, as in \"800ms\", \"3s\" or \"2m\"";
-        self.take(key, or, form, |e| read_span(e.as_str()?)).unwrap_or_default()
+        self.read_value(key, fallback, form, |expr| parse_duration(expr.as_str()?)).unwrap_or_default()
     }
 
     /// Reads a boolean.
-    pub fn flag(&self, key: &str, or: Option<bool>) -> bool {
-        self.take(key, or, "true or false", Expression::as_bool).unwrap_or_default()
+    pub fn flag(&self, key: &str, fallback: Option<bool>) -> bool {
+        self.read_value(key, fallback, "true or false", Expression::as_bool).unwrap_or_default()
     }
 
     /// Reads a string.
-    pub fn text(&self, key: &str, or: Option<&str>, form: &str) -> String {
-        self.take(key, or.map(str::to_owned), form, |e| e.as_str().map(str::to_owned)).unwrap_or_default()
+    pub fn text(&self, key: &str, fallback: Option<&str>, form: &str) -> String {
+        self.read_value(key, fallback.map(str::to_owned), form, |expr| expr.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 
     /// Reads a string and converts it with `read`, which returns none for an invalid one.
     pub fn parsed<T>(
-        &self, key: &str, or: Option<T>, form: &str, read: impl Fn(&str) -> Option<T>,
+        &self, key: &str, fallback: Option<T>, form: &str, read: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
-        self.take(key, or, form, |e| read(e.as_str()?))
+        self.read_value(key, fallback, form, |expr| read(expr.as_str()?))
     }
 
     /// Reads one of the given words.
-    pub fn one_of<T: Copy>(&self, key: &str, or: Option<T>, words: &[(&str, T)]) -> T {
-        let form = words.iter().map(|w| format!("{:?}", w.0)).collect::<Vec<_>>().join(" or ");
-        let read = |e: &Expression| words.iter().find(|w| Some(w.0) == e.as_str()).map(|w| w.1);
-        self.take(key, or, &form, read).unwrap_or(words[0].1)
+    pub fn one_of<T: Copy>(&self, key: &str, fallback: Option<T>, words: &[(&str, T)]) -> T {
+        let form = words.iter().map(|word| format!("{:?}", word.0)).collect::<Vec<_>>().join(" or ");
+        let read =
+            |expr: &Expression| words.iter().find(|word| Some(word.0) == expr.as_str()).map(|word| word.1);
+        self.read_value(key, fallback, &form, read).unwrap_or(words[0].1)
     }
 
     /// Reads a list of strings.
-    pub fn texts(&self, key: &str, or: Option<Vec<String>>) -> Vec<String> {
-        let read = |e: &Expression| e.as_array()?.iter().map(|e| e.as_str().map(str::to_owned)).collect();
-        self.take(key, or, "a list of strings, as in [\"a\", \"b\"]", read).unwrap_or_default()
+    pub fn texts(&self, key: &str, fallback: Option<Vec<String>>) -> Vec<String> {
+        let read = |expr: &Expression| {
+            expr.as_array()?.iter().map(|expr| expr.as_str().map(str::to_owned)).collect()
+        };
+        self.read_value(key, fallback, "a list of strings, as in [\"a\", \"b\"]", read).unwrap_or_default()
     }
 
     /// Reads a list of numbers, each within `range`.
-    pub fn numbers(&self, key: &str, or: Option<Vec<f64>>, range: RangeInclusive<f64>) -> Vec<f64> {
+    pub fn numbers(&self, key: &str, fallback: Option<Vec<f64>>, range: RangeInclusive<f64>) -> Vec<f64> {
         let form = format!("a list of numbers, each {} to {}", range.start(), range.end());
-        let fits = |e: &Expression| e.as_number()?.as_f64().filter(|v| range.contains(v));
-        let read = |e: &Expression| e.as_array()?.iter().map(fits).collect();
-        self.take(key, or, &form, read).unwrap_or_default()
+        let in_range = |expr: &Expression| expr.as_number()?.as_f64().filter(|v| range.contains(v));
+        let read = |expr: &Expression| expr.as_array()?.iter().map(in_range).collect();
+        self.read_value(key, fallback, &form, read).unwrap_or_default()
     }
 
-    fn inner(&self, block: &'a Block) -> Sheet<'a> {
+    fn for_block(&self, block: &'a Block) -> Sheet<'a> {
         let place = block.ident.span().or(block.span()).unwrap_or(0..0);
-        Sheet { page: self.page, body: &block.body, place, used: RefCell::default() }
+        Sheet { page: self.page, body: &block.body, place, known: RefCell::default() }
     }
 
     /// Reads all blocks with this name. Each must have one label, unique among them; `read` gets the label and the block.
     pub fn labelled<T>(&self, name: &str, read: impl Fn(&str, &Sheet) -> T) -> Vec<T> {
-        self.used.borrow_mut().insert(name.to_owned());
+        self.known.borrow_mut().insert(name.to_owned());
         let mut seen = BTreeSet::new();
-        let one = |block: &'a Block| {
-            let sheet = self.inner(block);
+        let read_block = |block: &'a Block| {
+            let sheet = self.for_block(block);
             let label = match &block.labels[..] {
                 [BlockLabel::String(s)] => s.as_str().to_owned(),
                 [BlockLabel::Ident(i)] => i.as_str().to_owned(),
@@ -223,31 +227,31 @@
                 sheet.complain(None, format!("{name} {label:?} is given twice: keep one"));
             }
             let value = read(&label, &sheet);
-            sheet.close();
+            sheet.complain_of_unknown_keys();
             value
         };
         let body: &'a Body = self.body;
-        body.blocks().filter(|b| b.has_ident(name)).map(one).collect()
+        body.blocks().filter(|b| b.has_ident(name)).map(read_block).collect()
     }
 
     /// Reads a block that may occur at most once. An absent block is read as an empty one.
     pub fn block<T>(&self, name: &str, read: impl FnOnce(&Sheet) -> T) -> T {
-        self.used.borrow_mut().insert(name.to_owned());
+        self.known.borrow_mut().insert(name.to_owned());
         let body: &'a Body = self.body;
         let mut blocks = body.blocks().filter(|b| b.has_ident(name));
         let empty = Body::new();
         let first = blocks.next();
         if let Some(second) = blocks.next() {
-            self.inner(second).complain(None, format!("{name} is given twice: keep one"));
+            self.for_block(second).complain(None, format!("{name} is given twice: keep one"));
         }
         match first {
             Some(block) => {
-                let sheet = self.inner(block);
+                let sheet = self.for_block(block);
                 if !block.labels.is_empty() {
                     sheet.complain(None, format!("{name} takes no label: write {name} {{ ... }}"));
                 }
                 let value = read(&sheet);
-                sheet.close();
+                sheet.complain_of_unknown_keys();
                 value
             }
             None => {
@@ -255,7 +259,7 @@
                     page: self.page,
                     body: &empty,
                     place: self.place.clone(),
-                    used: RefCell::default(),
+                    known: RefCell::default(),
                 };
                 read(&sheet)
             }
@@ -269,19 +273,19 @@
     }
 
     /// Records an error for each key and block that no reader asked for, so that a misspelt key does not count as absent.
-    fn close(&self) {
-        let used = self.used.borrow();
+    fn complain_of_unknown_keys(&self) {
+        let known = self.known.borrow();
         for structure in self.body.iter() {
             let (key, place) = match (structure.as_attribute(), structure.as_block()) {
                 (Some(attr), _) => (attr.key.as_str(), attr.key.span()),
                 (_, Some(block)) => (block.ident.as_str(), block.ident.span()),
                 _ => continue,
             };
-            if !used.contains(key) {
-                let near = used.iter().min_by_key(|known| distance(known, key));
-                let hint = match near.filter(|known| distance(known, key) <= 3) {
+            if !known.contains(key) {
+                let nearest = known.iter().min_by_key(|known| edit_distance(known, key));
+                let hint = match nearest.filter(|known| edit_distance(known, key) <= 3) {
                     Some(known) => format!("did you mean {known}?"),
-                    None => format!("known keys: {}", used.iter().cloned().collect::<Vec<_>>().join(", ")),
+                    None => format!("known keys: {}", known.iter().cloned().collect::<Vec<_>>().join(", ")),
                 };
                 self.page.complain(&place.unwrap_or(0..0), format!("unknown key {key}: {hint}"));
             }
@@ -290,10 +294,10 @@
 }
 
 /// Parses a duration such as `800ms`, of up to 366 days.
-pub fn read_span(text: &str) -> Option<Duration> {
-    let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let n: f64 = text[..split].parse().ok()?;
-    let unit = match &text[split..] {
+pub fn parse_duration(text: &str) -> Option<Duration> {
+    let unit_at = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
+    let value: f64 = text[..unit_at].parse().ok()?;
+    let unit = match &text[unit_at..] {
         "us" => 1e-6,
         "ms" => 1e-3,
         "s" => 1.0,
@@ -301,19 +305,19 @@
         "h" => 3600.0,
         _ => return None,
     };
-    Duration::try_from_secs_f64(n * unit).ok().filter(|d| *d <= Duration::from_secs(366 * 86_400))
+    Duration::try_from_secs_f64(value * unit).ok().filter(|d| *d <= Duration::from_secs(366 * 86_400))
 }
 
 /// Levenshtein distance between two words.
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let (a, b): (Vec<char>, Vec<char>) = (a.chars().collect(), b.chars().collect());
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.iter().enumerate() {
-        let mut corner = row[0];
+        let mut diagonal = row[0];
         row[0] = i + 1;
         for (j, y) in b.iter().enumerate() {
-            let next = (corner + usize::from(x != y)).min(row[j] + 1).min(row[j + 1] + 1);
-            corner = std::mem::replace(&mut row[j + 1], next);
+            let next = (diagonal + usize::from(x != y)).min(row[j] + 1).min(row[j + 1] + 1);
+            diagonal = std::mem::replace(&mut row[j + 1], next);
         }
     }
     row[b.len()]
--- a/crates/terms/src/subset.rs
+++ b/crates/terms/src/subset.rs
@@ -13,7 +13,7 @@
 
 /// Reads the block `subset { least, marshals }`, or `subset = false`, which selects all nodes.
 pub(crate) fn subset(
-    top: &Sheet, zones: &[String], (number, of, zone): (usize, usize, usize),
+    top: &Sheet, zones: &[String], (marshal, total, zone): (usize, usize, usize),
 ) -> Option<SubsetTerms> {
     if top.has("subset") {
         if top.flag("subset", None) {
@@ -21,25 +21,25 @@
         }
         return None;
     }
-    top.block("subset", |s| {
-        let least = s.whole("least", Some(ivydrift_subset::LEAST as u64), 2..=10_000) as usize;
-        let counts = s.numbers("marshals", Some(vec![]), 0.0..=10_000.0);
-        let marshals: Vec<usize> = counts.iter().map(|n| *n as usize).collect();
-        let wrong = |what: String| s.complain(Some("marshals"), what);
+    top.block("subset", |block| {
+        let least = block.whole("least", Some(ivydrift_subset::LEAST as u64), 2..=10_000) as usize;
+        let numbers = block.numbers("marshals", Some(vec![]), 0.0..=10_000.0);
+        let marshals: Vec<usize> = numbers.iter().map(|n| *n as usize).collect();
+        let complain = |message: String| block.complain(Some("marshals"), message);
         if marshals.is_empty() {
-        } else if counts.iter().any(|n| n.fract() != 0.0) || marshals.len() != zones.len() {
+        } else if numbers.iter().any(|n| n.fract() != 0.0) || marshals.len() != zones.len() {
             let names = zones.join(", ");
-            wrong(format!("marshals does not match zones: write a whole number for each of {names}"));
-        } else if marshals.iter().sum::<usize>() != of {
+            complain(format!("marshals does not match zones: write a whole number for each of {names}"));
+        } else if marshals.iter().sum::<usize>() != total {
             let sum: usize = marshals.iter().sum();
-            wrong(format!("marshals add up to {sum}: write numbers that add up to marshal.of, {of}"));
+            complain(format!("marshals add up to {sum}: write numbers that add up to marshal.of, {total}"));
         } else {
             let first: usize = marshals[..zone].iter().sum();
             let last = first + marshals[zone];
-            if !(first..last).contains(&number) {
-                let (name, ends) = (&zones[zone], last.saturating_sub(1));
-                wrong(format!(
-                    "marshals gives zone {name:?} the numbers {first} to {ends}, and this one is {number}: number them zone by zone"
+            if !(first..last).contains(&marshal) {
+                let (zone_name, last_number) = (&zones[zone], last.saturating_sub(1));
+                complain(format!(
+                    "marshals gives zone {zone_name:?} the numbers {first} to {last_number}, and this one is {marshal}: number them zone by zone"
                 ));
             }
         }
--- a/crates/wire/src/desk.rs
+++ b/crates/wire/src/desk.rs
@@ -130,7 +130,7 @@
 pub fn read_news(bytes: &[u8]) -> Result<News, String> {
     let news: News = read(bytes)?;
     if let Some(stage) = news.stage {
-        check(&stage)?;
+        validate(&stage)?;
     }
     Ok(news)
 }
@@ -141,7 +141,7 @@
 /// Returns a sentence on what is malformed.
 pub fn read_vote_answer(bytes: &[u8]) -> Result<VoteAnswer, String> {
     let answer: VoteAnswer = read(bytes)?;
-    check(&answer.stage)?;
+    validate(&answer.stage)?;
     Ok(answer)
 }
 
@@ -164,7 +164,7 @@
     serde_json::to_vec(message).unwrap_or_default()
 }
 
-fn check(stage: &Stage) -> Result<(), String> {
+fn validate(stage: &Stage) -> Result<(), String> {
     if !(0.0..=1.0).contains(&stage.cap) {
         return Err(format!("the rollout controller's cap is {}, not within 0 to 1", stage.cap));
     }
@@ -176,7 +176,7 @@
     use super::*;
 
     #[test]
-    fn one_service_is_asked_and_voted_on_in_the_words_of_before_there_were_many() {
+    fn the_default_service_uses_the_format_of_a_single_service() {
         let vote = Vote { marshal: 3, verdict: Verdict::Back, stage: 1, build: 42 };
         let plain = ServiceVote { vote, service: None };
         assert_eq!(write(&plain), write(&vote));
@@ -193,7 +193,7 @@
     }
 
     #[test]
-    fn a_cap_out_of_range_is_not_believed() {
+    fn a_cap_out_of_range_is_rejected() {
         let news = |cap: f64| {
             let stage = Stage { build: 2, stage: 0, course: Course::OnTrial, cap, age_ms: 1 };
             let news = News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
