--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -58,15 +58,16 @@
 
     /// Iterates over all fields in order, as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.fields.iter().map(|f| {
-            (std::str::from_utf8(&self.raw[f.name.clone()]).unwrap_or(""), &self.raw[f.value.clone()])
+        self.fields.iter().map(|field| {
+            (std::str::from_utf8(&self.raw[field.name.clone()]).unwrap_or(""), &self.raw[field.value.clone()])
         })
     }
 
     /// Iterates over all values of a field; the name is case-insensitive.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let matches = move |f: &&Field| self.raw[f.name.clone()].eq_ignore_ascii_case(name.as_bytes());
-        self.fields.iter().filter(matches).map(|f| &self.raw[f.value.clone()])
+        let matches =
+            move |field: &&Field| self.raw[field.name.clone()].eq_ignore_ascii_case(name.as_bytes());
+        self.fields.iter().filter(matches).map(|field| &self.raw[field.value.clone()])
     }
 
     /// Returns the first value of a field if it is valid UTF-8.
@@ -236,7 +237,7 @@
         "content-length",
         "expect",
     ];
-    HOP_BY_HOP.iter().any(|h| name.eq_ignore_ascii_case(h))
+    HOP_BY_HOP.iter().any(|known| name.eq_ignore_ascii_case(known))
 }
 
 /// Builds a message head. Values are not checked for line breaks: they come from parsed messages or from this program.
@@ -263,10 +264,10 @@
     }
 
     /// Copies the end-to-end fields of another message, except those listed in `but`.
-    pub fn pass(mut self, fields: &Fields, but: &[&str]) -> Self {
+    pub fn pass(mut self, fields: &Fields, except: &[&str]) -> Self {
         let has_connection = fields.get("connection").is_some();
         for (name, value) in fields.iter() {
-            let excluded = but.iter().any(|b| name.eq_ignore_ascii_case(b));
+            let excluded = except.iter().any(|field| name.eq_ignore_ascii_case(field));
             let is_hop_by_hop = hop_by_hop(name) || (has_connection && fields.lists("connection", name));
             if !excluded && !is_hop_by_hop {
                 self = self.field(name, value);
@@ -369,8 +370,8 @@
             let text = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n";
             let cut = cut.min(text.len() - 1);
             prop_assert_eq!(request(&text[..cut]), Ok(None));
-            let whole = [&text[..], &junk].concat();
-            let (head, used) = request(&whole).unwrap().unwrap();
+            let message = [&text[..], &junk].concat();
+            let (head, used) = request(&message).unwrap().unwrap();
             prop_assert_eq!((used, head.framing), (text.len(), Framing::Length(3)));
         }
         /// Arbitrary bytes do not make the parser panic.
