--- a/crates/platform/src/rpc.rs
+++ b/crates/platform/src/rpc.rs
@@ -76,12 +76,10 @@
         return refuse(400, "there must be one X-Timeout-Ms, a whole number over 0, as in 480");
     };
     match safe {
-        None => return refuse(404, "unknown class: the first segment of the path must name one"),
+        None => return refuse(404, "no such class: the first part of the path names it"),
         Some(true) if request.verb != "GET" => return refuse(405, "this class uses GET"),
         Some(false) if request.verb != "POST" => return refuse(405, "this class uses POST"),
-        Some(true) if request.framing != Framing::Length(0) => {
-            return refuse(400, "a GET must not have a body")
-        }
+        Some(true) if request.framing != Framing::Length(0) => return refuse(400, "a GET has no body here"),
         Some(_) => {}
     }
     let (tenant, repeated) = sender(&request.fields);
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -125,7 +125,7 @@
             return Ok(None);
         }
         Err(httparse::Error::TooManyHeaders) => return refuse(431, "more than 64 header fields"),
-        Err(httparse::Error::Version) => return refuse(505, "only HTTP/1.0 and HTTP/1.1 are supported"),
+        Err(httparse::Error::Version) => return refuse(505, "only HTTP/1.0 and HTTP/1.1 are spoken"),
         Err(_) => return refuse(400, "the head is malformed"),
     };
     reject_bare_lf(&buf[..used])?;
@@ -137,7 +137,7 @@
     }
     let host_count = fields.all("host").count();
     if host_count > 1 || (is_http_1_1 && host_count == 0) {
-        return refuse(400, "there must be exactly one Host field");
+        return refuse(400, "there must be one Host field");
     }
     let framing = match framing(&fields, is_http_1_1)? {
         Some(framing) => framing,
@@ -146,7 +146,7 @@
     let expects_continue = match fields.get("expect") {
         None => false,
         Some(expectation) if is_http_1_1 && expectation.eq_ignore_ascii_case("100-continue") => true,
-        Some(_) => return refuse(417, "the only supported expectation is 100-continue"),
+        Some(_) => return refuse(417, "only 100-continue can be expected"),
     };
     let keep_alive = is_persistent(&fields, is_http_1_1);
     Ok(Some((Request { verb, target, fields, framing, keep_alive, expects_continue }, used)))
@@ -199,7 +199,7 @@
         (Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
             Ok(Some(Framing::Chunked))
         }
-        (Some(_), None) => refuse(501, "the only supported transfer coding is chunked"),
+        (Some(_), None) => refuse(501, "the only transfer coding spoken is chunked"),
         (None, Some(length)) => {
             if lengths.next().is_some() {
                 return refuse(400, "more than one Content-Length");
