--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -1,4 +1,5 @@
-//! One host for many instances: batches in, replies out.
+//! Hosts the simulated instances: translates each batch of records into events for their marshals, and the
+//! marshals' actions into a reply.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::mem;
@@ -12,7 +13,7 @@
 
 type Addr = [u8; 6];
 
-/// An entry of a numbered list, as the wire has it.
+/// An entry of a numbered node list, as on the wire.
 #[derive(Clone, Copy)]
 struct Row {
     kind: u8,
@@ -20,34 +21,48 @@
     cell: u16,
     zone: u16,
     readiness: u8,
+    /// Start time in microseconds; 0 means long ago.
     started: u64,
     addr: Addr,
     build: f32,
 }
 
+/// All instances of the process, and the node lists that they share.
 #[derive(Default)]
 pub struct Host {
+    /// Node lists by number.
     lists: HashMap<u32, Vec<Row>>,
+    /// Instances by id.
     instances: BTreeMap<u32, Instance>,
 }
 
-/// One marshal: its module and its own id tables.
+/// One instance: its marshal and its id tables.
 struct Instance {
     marshal: Marshal,
+    /// Names of the load report's columns, in wire order.
     columns: Vec<String>,
     nodes: HashMap<Addr, NodeIx>,
+    /// Addresses by node index.
     addrs: Vec<Addr>,
+    /// Open RPCs by wire id.
     rpcs: HashMap<u32, RpcIx>,
     open: HashMap<RpcIx, OpenRpc>,
     next_rpc: RpcIx,
+    /// RPCs that have got their final answer or lost their client since the last reply.
     ended: Vec<RpcIx>,
+    /// The configuration has tenants, so the tenant field is used.
     tenants: bool,
+    /// The number of configured methods.
     methods: usize,
+    /// Events of the current batch.
     events: Vec<Event>,
 }
 
+/// An RPC that may still appear in records.
 struct OpenRpc {
+    /// Its id on the wire.
     xid: u32,
+    /// Picks sent and not yet ended.
     outstanding: usize,
     ended: bool,
 }
@@ -56,12 +71,14 @@
     Duration::from_micros(us.into())
 }
 
+/// Microseconds as on the wire; longer spans than the field holds become its maximum.
 fn wire_micros(span: Duration) -> [u8; 4] {
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
 impl Host {
-    /// Answers one frame, header included.
+    /// Handles one frame, header included, and returns the reply. An instance's marshal gets all its events
+    /// of the frame in one call, after the last record.
     pub fn batch(&mut self, frame: &[u8]) -> Result<Vec<u8>> {
         let mut r = Reader::new(frame, "the frame");
         let (records, len, now) = (r.u32()?, r.u32()?, r.u64()?);
@@ -81,7 +98,10 @@
                 15 => on = Some(f.u32()?),
                 _ => {
                     let Some(id) = on else {
-                        return malformed(format!("record {i} ({}) precedes any On", event_name(code)));
+                        return malformed(format!(
+                            "record {i} ({}) precedes any On record",
+                            event_name(code)
+                        ));
                     };
                     self.event(id, code, &mut f)?;
                     told.insert(id);
@@ -89,7 +109,9 @@
             }
         }
         if !r.is_empty() {
-            return malformed(format!("bytes follow the {records} records that the header states"));
+            return malformed(format!(
+                "the frame continues after the {records} records that the header states"
+            ));
         }
         let mut reply = Writer::default();
         for id in told {
@@ -100,6 +122,7 @@
         Ok(reply.finish())
     }
 
+    /// Handles one record for an instance: starts or stops it, or queues the event.
     fn event(&mut self, id: u32, code: u8, f: &mut Reader) -> Result<()> {
         match code {
             1 => {
@@ -125,7 +148,7 @@
                 1 => Scope::Cached,
                 2 => Scope::Full,
                 3 => Scope::Delta,
-                other => return malformed(format!("Membership has the unknown scope {other}")),
+                other => return malformed(format!("Membership has unknown scope {other}")),
             };
             let rows: &[Row] = match (scope, self.lists.get(&number)) {
                 (Scope::Failed, _) => &[],
@@ -160,6 +183,7 @@
         }
     }
 
+    /// The index of a node; a new address gets the next one.
     fn node(&mut self, addr: Addr) -> NodeIx {
         let addrs = &mut self.addrs;
         *self.nodes.entry(addr).or_insert_with(|| {
@@ -168,12 +192,13 @@
         })
     }
 
+    /// A list entry in the decision module's types.
     fn entry(&mut self, row: &Row) -> Result<NodeEntry> {
         let readiness = match row.readiness {
             0 => Readiness::Gone,
             2 => Readiness::Draining,
             3 => Readiness::Ready,
-            other => return malformed(format!("a list entry has the unknown readiness {other}")),
+            other => return malformed(format!("a list entry has unknown readiness {other}")),
         };
         Ok(NodeEntry {
             node: self.node(row.addr),
@@ -188,6 +213,7 @@
         })
     }
 
+    /// Reads a load report, whose columns the start settings name; unknown columns are skipped.
     fn load(&self, f: &mut Reader) -> Result<Load> {
         let mut load = Load::default();
         for i in 0..f.u8()? {
@@ -205,13 +231,18 @@
         Ok(load)
     }
 
+    /// Checks a method's index against the start settings.
     fn method(&self, class: u8) -> Result<usize> {
         match usize::from(class) {
             method if method < self.methods => Ok(method),
-            _ => malformed(format!("class {class} is not among the {} of the start settings", self.methods)),
+            _ => malformed(format!(
+                "class {class} is out of range: the start settings have {} classes",
+                self.methods
+            )),
         }
     }
 
+    /// Marks an RPC as ended; it is forgotten once no pick is outstanding.
     fn end(&mut self, rpc: RpcIx) {
         if let Some(open) = self.open.get_mut(&rpc) {
             open.ended = true;
@@ -219,7 +250,7 @@
         }
     }
 
-    /// One event in the module's terms; none where it names an RPC long concluded.
+    /// Translates a record into an event; `None` if it concerns an RPC that is already forgotten.
     fn read(&mut self, code: u8, f: &mut Reader) -> Result<Option<Event>> {
         Ok(Some(match code {
             3 => {
@@ -294,7 +325,7 @@
                     1 => Course::GoingBack,
                     2 => Course::Released,
                     3 => Course::Withdrawn,
-                    other => return malformed(format!("ReleaseState has the unknown course {other}")),
+                    other => return malformed(format!("ReleaseState has unknown course {other}")),
                 };
                 let reply = match (reason, result) {
                     (0, _) => VoteReply::Unasked,
@@ -303,7 +334,7 @@
                     (_, 30) => VoteReply::Full,
                     (_, 40) => VoteReply::Silent,
                     (_, 80) => VoteReply::Moot,
-                    (_, other) => return malformed(format!("ReleaseState has the unknown result {other}")),
+                    (_, other) => return malformed(format!("ReleaseState has unknown result {other}")),
                 };
                 Event::Stage {
                     build: build.into(),
@@ -330,10 +361,12 @@
                 let (addr, age, method) = (f.addr()?, f.u32()?, self.method(f.u8()?)?);
                 Event::Disputed { node: self.node(addr), method, age: micros(age) }
             }
-            other => return malformed(format!("a record has the unknown code {other}")),
+            other => return malformed(format!("unknown record code {other}")),
         }))
     }
 
+    /// Hands the queued events to the marshal, writes its actions to the reply and forgets RPCs that are
+    /// complete.
     fn answer(&mut self, id: u32, now: Duration, reply: &mut Writer) -> Result<()> {
         let actions = self.marshal.handle(now, mem::take(&mut self.events));
         if !actions.is_empty() {
@@ -352,10 +385,12 @@
         Ok(())
     }
 
+    /// An open RPC's id as on the wire.
     fn xid(&self, rpc: RpcIx) -> Option<[u8; 4]> {
         self.open.get(&rpc).map(|open| open.xid.to_le_bytes())
     }
 
+    /// Appends an action to the reply; actions on forgotten RPCs are skipped.
     fn write(&mut self, action: &Action, reply: &mut Writer) {
         match action {
             Action::Pick { rpc, node, within } => {
@@ -406,6 +441,7 @@
     }
 }
 
+/// Reads a Catalog record: the list's number and its entries.
 fn catalog(f: &mut Reader) -> Result<(u32, Vec<Row>)> {
     let (number, n) = (f.u32()?, f.u32()?);
     let row = |f: &mut Reader| -> Result<Row> {
@@ -433,10 +469,11 @@
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
         80 => Outcome::Moot,
-        other => return malformed(format!("an outcome is unknown: {other}")),
+        other => return malformed(format!("unknown outcome code {other}")),
     })
 }
 
+/// The record's name in the wire protocol, for error messages.
 fn event_name(code: u8) -> &'static str {
     match code {
         1 => "Boot",
@@ -454,7 +491,7 @@
         13 => "Disputed",
         14 => "Catalog",
         15 => "On",
-        _ => "a record of unknown code",
+        _ => "unknown record",
     }
 }
 
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,6 +1,7 @@
-//! Carries the bench's wire to the decision module and back: frames, codec and the mapping of wire ids to
-//! small indices. Each instance has a module, tables and a start of its own; nothing is shared but the
-//! numbered lists, which the wire defines for the whole process.
+//! Connects the external simulator to the decision module: reads frames from standard input, translates wire
+//! ids to the module's indices and back, and writes replies to standard output. Each simulated instance has
+//! its own module and id tables. Instances share only the numbered node lists, which the protocol defines for
+//! the whole process.
 #![forbid(unsafe_code)]
 
 mod codec;
@@ -17,6 +18,7 @@
     }
 }
 
+/// Answers frames until the input ends; errors carry the number of the frame.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> codec::Result<()> {
     let mut host = link::Host::default();
     let mut frame = Vec::new();
@@ -28,13 +30,13 @@
         }
         let reply = host.batch(&frame).map_err(located)?;
         if let Err(e) = output.write_all(&reply).and_then(|()| output.flush()) {
-            return codec::malformed(format!("frame {frames}: the reply cannot be written: {e}"));
+            return codec::malformed(format!("frame {frames}: cannot write the reply: {e}"));
         }
         frames += 1;
     }
 }
 
-/// Reads one frame, its length prefix checked; false at a clean end of input.
+/// Reads one frame and checks its stated length; false if the input has ended between two frames.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> codec::Result<bool> {
     frame.clear();
     read_up_to(input, frame, 16)?;
@@ -46,7 +48,9 @@
     }
     let len = u32::from_le_bytes(frame[4..8].try_into().expect("four bytes")) as usize;
     if len < 16 {
-        return codec::malformed(format!("the header states a length of {len}, less than its own 16 bytes"));
+        return codec::malformed(format!(
+            "the header states a length of {len} bytes, less than the header's own 16"
+        ));
     }
     read_up_to(input, frame, len)?;
     if frame.len() < len {
@@ -55,9 +59,10 @@
     Ok(true)
 }
 
+/// Reads until `frame` holds `len` bytes or the input ends.
 fn read_up_to(input: &mut impl Read, frame: &mut Vec<u8>, len: usize) -> codec::Result<()> {
     match input.take((len - frame.len()) as u64).read_to_end(frame) {
         Ok(_) => Ok(()),
-        Err(e) => codec::malformed(format!("input cannot be read: {e}")),
+        Err(e) => codec::malformed(format!("cannot read the input: {e}")),
     }
 }
--- a/crates/policy/tests/marshal/main.rs
+++ b/crates/policy/tests/marshal/main.rs
@@ -1,4 +1,5 @@
-//! The decision module from outside: rules under random runs, and plain cases.
+//! Tests of the decision module through its public interface: safety rules under random runs, and single
+//! cases.
 
 mod desk;
 mod discovery;
