--- a/crates/policy/tests/marshal/desk.rs
+++ b/crates/policy/tests/marshal/controller.rs
@@ -3,7 +3,7 @@
 
 use ivydrift_policy::port::*;
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 
 /// One of 300 marshals, a rollout controller that takes 80 votes a second, and a build on trial on two nodes
 /// beside eight of the earlier build.
--- a/crates/policy/tests/marshal/discovery.rs
+++ b/crates/policy/tests/marshal/discovery.rs
@@ -8,7 +8,7 @@
 use ivydrift_policy::port::*;
 use ivydrift_policy::Marshal;
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 
 const MARSHALS: usize = 120;
 /// Discovery's capacity in calls a second, per marshal.
--- a/crates/policy/tests/marshal/lease.rs
+++ b/crates/policy/tests/marshal/list_lease.rs
@@ -2,7 +2,7 @@
 
 use ivydrift_policy::port::*;
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 
 /// Four nodes, with a list lease of 6 s (4 s after a reload) and a drain grace of 1 s.
 fn world() -> World {
--- a/crates/policy/tests/marshal/known.rs
+++ b/crates/policy/tests/marshal/method_memory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 use ivydrift_policy::port::*;
 
 /// Eight nodes and `methods` configured methods of equal utility.
--- a/crates/policy/tests/marshal/traffic.rs
+++ b/crates/policy/tests/marshal/routing.rs
@@ -1,7 +1,7 @@
 //! Routing and admission: cold, silent, slow and few nodes, congestion, retries and keys, one case each.
 
+use crate::simulation::{ms, terms, World};
 use crate::verdicts::on_trial;
-use crate::world::{ms, terms, World};
 use ivydrift_policy::port::*;
 
 #[test]
--- a/crates/policy/tests/marshal/rules.rs
+++ b/crates/policy/tests/marshal/rules.rs
@@ -1,6 +1,6 @@
 //! Seeded random runs: the five safety rules hold after every step, whatever events arrive.
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 use ivydrift_policy::port::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/crates/policy/tests/marshal/verdicts.rs
+++ b/crates/policy/tests/marshal/verdicts.rs
@@ -1,7 +1,7 @@
 //! Votes on a build: which evidence leads to a vote to promote or to roll back, and which must not, one case
 //! each.
 
-use crate::world::{ms, terms, World};
+use crate::simulation::{ms, terms, World};
 use ivydrift_policy::port::*;
 
 /// Eight warm nodes of build 1 that have served for 6 s, then `trial` new nodes of build 2 in stage 0.
