--- a/crates/policy/tests/marshal/simulation.rs
+++ b/crates/policy/tests/marshal/simulation.rs
@@ -14,6 +14,7 @@
 use ivydrift_policy::port::*;
 use ivydrift_policy::Marshal;
 
+/// A span of `n` milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
@@ -363,7 +364,7 @@
         self.in_flight.push(InFlightPick { rpc, pick, entry, ends_at: now + took, outcome, took, key });
     }
 
-    /// Rule 4.
+    /// Rule 4: the slow-start budget of a cold node.
     fn check_slow_start(&self, entry: &NodeEntry) {
         let rules = &self.config.rules;
         let Some(started) = entry.started.filter(|&at| self.now < at + rules.warm_within) else { return };
