--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! ivydrift decides, on each marshal by itself, how a new build is tried on live traffic.
+//! Decides, on each marshal, where RPCs are sent and how a new build is tried on live traffic.
 //!
-//! [`Marshal`] holds every decision; [`port`] is the plain-typed interface to it. Neither does IO,
-//! reads a clock or knows a wire, so that the bench's adapter and a real marshal can drive the same module.
+//! [`Marshal`] makes all decisions; [`port`] is its plain-typed interface. Neither does I/O, reads a clock or
+//! depends on a wire protocol, so that a real marshal and the simulator's adapter drive the same code.
 #![forbid(unsafe_code)]
 
 mod marshal;
@@ -11,7 +11,7 @@
 
 pub use marshal::Marshal;
 
-/// The test that verdicts rest on, for whoever measures how many outcomes one takes.
+/// The statistical test behind verdicts, exported for measurements of how many outcomes a verdict takes.
 pub mod evidence {
     pub use crate::policy::{below, width, DELTA, HALVE, LEAST_SAMPLE, MARGIN};
     pub use crate::state::Tally;
--- a/crates/policy/src/marshal.rs
+++ b/crates/policy/src/marshal.rs
@@ -1,5 +1,6 @@
-//! The loop that carries notes between the parts of one marshal: made by `Marshal::new(&terms)`, then called when
-//! something has happened as `handle(now, events) -> actions`. It decides nothing.
+//! The event loop of one marshal. The driver creates it with `Marshal::new(&terms)` and calls `handle(now,
+//! events) -> actions` whenever something has happened. The loop delivers messages between the components and
+//! makes no decisions of its own.
 
 use std::time::Duration;
 
@@ -7,16 +8,19 @@
 use crate::port::*;
 use crate::state::*;
 
+/// One replica of the balancer: its components and the time of the next tick.
 pub struct Marshal {
     cx: Cx,
     nodes: Vec<Node>,
     front: Front,
     judge: Judge,
     membership: Membership,
+    /// When the next tick is due.
     beat_at: Duration,
 }
 
 impl Marshal {
+    /// Creates a marshal that knows no nodes and has no history.
     pub fn new(terms: &RolloutTerms) -> Self {
         let law = Charter::new(terms);
         let usual = law.duties.iter().map(|d| FIRST_GUESS * d.soft).collect();
@@ -29,8 +33,8 @@
         Marshal { cx, nodes, front, judge, membership, beat_at }
     }
 
-    /// Takes new terms between two calls of `handle`. Methods and kinds keep their places, new ones come
-    /// after the old; RPCs in hand, accounts of the rules, health and evidence all stay.
+    /// Applies a new config between two calls of `handle`. Methods and kinds keep their indices, and new ones
+    /// are appended. RPCs in progress, the send history behind the rules, node health and evidence are kept.
     pub fn renew(&mut self, terms: &RolloutTerms) {
         self.cx.law = Charter::new(terms);
         self.cx.lease.renew(&terms.rules);
@@ -40,32 +44,35 @@
         self.judge.lay_out(&self.cx.law, rings(&self.cx.law, RING));
     }
 
-    /// The accounts of the rules count as full from `now` on, each for its window: what was in them is not known.
+    /// Treats the exposure and slow-start budgets as fully spent at `now`, each until its window has passed:
+    /// after a restart, earlier sends are unknown.
     pub fn fill_accounts(&mut self, now: Duration) {
         self.front.gate.full = Some(now);
     }
 
-    /// A key that met a build under the one-way rule could still be sent to an earlier one, were it forgotten.
+    /// Whether forgetting the recorded keys could break the one-way rule: a key that a build has answered
+    /// could then be sent to an earlier build.
     pub fn keys_open(&self) -> bool {
         self.front.gate.keys_open(&self.cx)
     }
 
-    /// New work may be sent by the list of nodes: discovery has confirmed it in time.
+    /// Whether the node list is still valid for new work: discovery has confirmed it in time.
     pub fn list_holds(&self, now: Duration) -> bool {
         self.cx.lease.holds(now)
     }
 
-    /// Reckoned bytes of what is kept, and of that what each listed node takes.
+    /// Estimated memory in bytes: the total, and the share of each listed node.
     pub fn bytes(&self) -> (usize, usize) {
         (reckon(&self.nodes, &self.front, &self.judge), node_bytes())
     }
 
-    /// Bytes that are laid out by method: evidence, which comes with the first outcome of a method at a node, and the
-    /// accounts of sends. A method that was not met takes none.
+    /// Bytes allocated per method: evidence, allocated at the first outcome of a method at a node, and the
+    /// history of sends. A method without RPCs takes none.
     pub fn laid_out(&self) -> usize {
         self.judge.bytes() + self.front.gate.bytes()
     }
 
+    /// Handles all that happened up to `now`, in order, and returns what the driver has to do.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.cx.now = now;
         self.cx.lease.begin(now);
@@ -88,6 +95,7 @@
         std::mem::take(&mut self.cx.out)
     }
 
+    /// Delivers queued messages until all inboxes are empty.
     fn settle(&mut self) {
         self.nodes.resize_with(self.cx.boxes.len() - NODES, Node::default);
         while let Some((to, note)) = self.cx.next() {
--- a/crates/policy/src/policy/choose.rs
+++ b/crates/policy/src/policy/choose.rs
@@ -1,39 +1,45 @@
-//! The arm and the node of a pick.
+//! Chooses the arm and the node of a pick, and sends it.
 
 use super::*;
 
-/// An arm's most, against its share of the ready nodes, and the most picks it may be behind or ahead.
+/// Limit of an arm's picks as a multiple of its share of the ready nodes, and the most picks of credit or
+/// debt that an arm can have.
 const SHARE_LIMIT: [f64; 2] = [1.1, 3.0];
-/// What a key's own node may cost beside another, as a part.
+/// A key's preferred node is used unless the cost of another is below this part of its cost.
 const AT_HOME: f64 = 0.75;
 
 impl Front {
-    /// A node's pace; while it was met seldom, that of its kind and zone (slow machines, lossy links).
+    /// Expected latency of a pick at a node in seconds, at its present capacity. While few of its answers are
+    /// known, the mean of its kind and zone dominates (slow machines, lossy links).
     fn pace(&self, c: &Card, cx: &Cx) -> f64 {
         let usual = self.groups.get(&(c.entry.kind, c.entry.zone));
         let usual = usual.copied().unwrap_or(FIRST_GUESS * cx.law.least_soft);
         (MET[0] * usual + c.met * c.pace) / (MET[0] + c.met) / cx.law.present(cx.age(&c.entry))
     }
 
-    /// A node of the arm of larger index within its limits, then of the other; wary of ill ones first.
+    /// Chooses an arm and a node: the arm of the larger UCB index within its limits, then the other; at first
+    /// without ejected nodes and with care for those on probation. Returns the arm to charge, the credit that
+    /// both arms gain, and the node.
     fn choose(&self, r: &Rpc, cx: &Cx) -> Option<(usize, [f64; 2], NodeEntry)> {
         let all = self.arms[0].len() + self.arms[1].len();
-        // Rehearsal in the last stage beside earlier machines: each new node gets the load of the release. In
-        // a crowd idle nodes would stand beside RPCs pushed back. Harms where the new nodes are too few.
+        // In the last stage, beside the earlier machines, each new node gets the load that it will have after
+        // the release. During congestion this is off, as idle nodes would stand beside RPCs pushed back.
+        // Harms where there are too few new nodes.
         let rehearsal = cx.now >= self.relief && self.last_stage(cx);
         let [old, new] = self.fleet;
         let whole = if rehearsal { new.max(old) } else { new + old };
-        // Nothing falls due to a build that gets nothing: many marshals would make it good all at once.
+        // A build that gets no traffic accrues no credit: many marshals would spend it all at once.
         let share = if self.starved { 0.0 } else { new / whole.max(1e-9) };
         let reach = (self.pulse[0] / self.pulse[1].max(1.0) * cx.law.kept / KEPT[0]).max(KEPT[1]);
         let most_rest = 5 * self.resting >= 4 * all;
         let due = [SHARE_LIMIT[0] * (1.0 - share), SHARE_LIMIT[0] * share];
         let within = [self.due[0] + due[0] >= 1.0, self.due[1] + due[1] >= 1.0 && !self.starved];
-        let first = usize::from(self.new_first && !r.burnt && !self.starved); // Repeats: older first.
+        // Repeats try the older arm first.
+        let first = usize::from(self.new_first && !r.burnt && !self.starved);
         let mut arms = [first, 1 - first];
         arms.sort_by_key(|&arm| !within[arm]);
-        // Cold nodes have budgets: the arm's picks are split between them and the warm ones by what each can
-        // do, or the marshals without budget would send the cold ones' part to the few warm.
+        // Cold nodes have send budgets. The arm's picks are split between cold and warm nodes by capacity;
+        // otherwise marshals without budget left would send the cold nodes' part to the few warm ones.
         let split = [0, 1].map(|arm: usize| {
             let part = self.cold[arm] / self.weights[arm].max(1e-9);
             usize::from(lot(cx.law.seed, self.draws + 8) >= part)
@@ -47,7 +53,8 @@
                     let doubt = c.resting || (c.gentle && unsure) || failed();
                     (if wary { !doubt } else { !c.resting || most_rest }) && self.gate.admits(cx, r, c)
                 };
-                // Two random choices among the first of this marshal's own order of nodes; the rest are next.
+                // Power of two choices among the first nodes of this marshal's own order; the rest of the
+                // list is the fallback.
                 let (cold, warm) = self.arms[arm].split_at(self.chill[arm]);
                 let list = if apart { [cold, warm][split[arm]] } else { &self.arms[arm] };
                 let near = (reach * list.len() as f64 / all as f64).ceil().max(2.0) as usize;
@@ -59,8 +66,9 @@
                     tries.map(|i| &self.cards[list[i]]).find(fits)
                 };
                 let cost = |c: &Card| (c.in_flight + 1) as f64 * self.pace(c, cx);
-                // Where nodes work less for a key that they met lately, all marshals agree on its node: one
-                // of the two choices, and taken unless clearly busier. Harms where one key is most of all.
+                // Key affinity: where nodes work less for a key handled recently, all marshals agree on its
+                // node by rendezvous hashing. It is one of the two choices, and is taken unless clearly
+                // busier. Harms where one key has most of the traffic.
                 let home = |key: u64| list.iter().max_by_key(|n| chance(key, self.cards[**n].entry.name));
                 let home = r.key.filter(|_| cx.law.warm_keys).and_then(home).map(|&n| &self.cards[n]);
                 let (a, b, part) = match home.filter(fits) {
@@ -71,13 +79,14 @@
                     let entry = if cost(b) < part * cost(a) { b.entry } else { a.entry };
                     return Some((charged.unwrap_or(arm), due, entry));
                 }
-                // What cold nodes cannot take is not saved up for warm ones.
+                // Picks that cold nodes cannot take are not saved up as credit for warm ones.
                 charged = charged.or((apart && split[arm] == 0 && within[arm]).then_some(arm));
             }
         }
         None
     }
 
+    /// Sends the next pick of an RPC if the concurrency limit and the rules allow one now.
     pub fn send(&mut self, rpc: RpcIx, cx: &mut Cx) -> bool {
         if self.stale {
             self.muster(cx);
@@ -96,7 +105,7 @@
         let most = SHARE_LIMIT[1];
         self.due = [0, 1].map(|i| (self.due[i] + due[i]).clamp(-most, most));
         self.due[arm] -= 1.0;
-        // A first pick that may be repeated leaves room for another; at a slow node, waiting is better.
+        // A first pick that may be repeated leaves time for a second; at a slow node, waiting is better.
         let (left, duty) = (r.until.saturating_sub(cx.now), &cx.law.duties[r.method]);
         let early = (0.6 * duty.soft).max(4.0 * self.usual[r.method].max(pace));
         let repeatable = duty.repeat != Repeat::NonIdempotent && self.retries >= 1.0;
--- a/crates/policy/src/policy/crowd.rs
+++ b/crates/policy/src/policy/crowd.rs
@@ -1,21 +1,25 @@
-//! What answers say of load, and what is sent in a crowd.
+//! Congestion: what answers reveal about load, and which RPCs are sent under it.
 
 use super::*;
 
-/// An RPC with less time than its soft deadline is sent by lot: the square of so many times the part of late
-/// picks answered in such time, and never by less than the second figure, or nothing would be learnt.
+/// An RPC with less time left than its soft deadline is sent with a probability: the square of this multiple
+/// of the part of recent picks that were answered in such time, and never below the second figure, or nothing
+/// would be learned.
 const ODDS: [f64; 2] = [2.0, 0.05];
-/// The fleet is crowded when even this part of the latest answers, the quickest, took this part of their soft
-/// deadline (queues delay all alike, far zones, ill nodes only some); how many; the part at clients' repeats.
+/// The fleet is congested when even this part of recent answers, the quickest, took this part of their soft
+/// deadline or longer (queues delay all alike; far zones and failing nodes delay only some). Then: the number
+/// of recent answers considered, and the part of answers that counts for clients' repeats.
 const CROWDED: [f64; 4] = [0.25, 0.25, 24.0, 0.5];
-/// Earlier nodes help in the last stage for this long after room was last cut: a backlog passes meanwhile.
+/// In the last stage, the earlier build's nodes take traffic for this long after the concurrency limit was
+/// last cut, while a backlog drains.
 const RELIEF: Duration = ms(6000);
-/// Own picks in flight always allowed for each unit of power in this marshal's part of the fleet.
+/// Own picks in flight that are always allowed per unit of capacity in this marshal's part of the fleet.
 const FAIR: f64 = 2.0;
 
 impl Front {
-    /// What a pick's end says of load. One cut short would have taken longer, a full queue takes longest;
-    /// what was given up may still stand in a node's queue, and takes room until its soft deadline.
+    /// Updates the latency histograms when a pick ends. A pick cut short would have taken longer, and a full
+    /// queue counts as the longest. An abandoned pick may still occupy a node's queue, and counts as in
+    /// flight until its soft deadline.
     pub fn heed(&mut self, rpc: RpcIx, outcome: Outcome, took: Duration, cx: &Cx) {
         let soft = self.rpcs.get(&rpc).map_or(cx.law.least_soft, |r| cx.law.duties[r.method].soft);
         let part = took.as_secs_f64() / soft;
@@ -34,22 +38,24 @@
         }
     }
 
-    /// Not worth a pick now, by the time left as a part of its soft deadline. Guards against clients that
-    /// leave early and come again at once: in a crowd all nodes would work for them alone. A new RPC of
-    /// normal time always passes. May refuse some whose method is quicker than the others.
+    /// Whether an RPC is not worth a pick now, by the time left as a part of its soft deadline. Guards
+    /// against clients that give up early and retry at once: during congestion all nodes would work for them
+    /// alone. A new RPC with normal time always passes. May reject some RPCs whose method is quicker than the
+    /// others.
     pub fn slim(&mut self, left: f64, repeated: bool, cx: &Cx) -> bool {
         let (odds, draw) = (self.odds.upto(bin(left)), lot(cx.law.seed, cx.now.as_nanos() as u64));
         let part = (ODDS[0] * odds.mean()).powi(2).max(ODDS[1]);
         let late = self.lags.edge(CROWDED[3], CROWDED[2] / 6.0).is_some_and(|e| e >= bin(CROWDED[1]));
-        // A client that comes again is a repeat like our own, and spends from the same store.
+        // A client's retry is a repeat like one of ours, and draws on the same retry budget.
         let paid = !repeated || !late || self.retries >= 1.0;
         let short = left < 1.0 && odds.n >= CROWDED[2] / 6.0 && draw > part;
         self.retries -= f64::from(u8::from(repeated && late && paid && !short));
         short || !paid
     }
 
-    /// Limits own picks in flight, not below this marshal's part of the fleet: with many marshals a node's
-    /// queue grows though each has but one pick there. Guards against overload where time-outs stop no work.
+    /// Adjusts the concurrency limit, never below this marshal's part of the fleet: with many marshals a
+    /// node's queue grows though each has only one pick there. Guards against overload where time-outs do not
+    /// stop the work.
     pub fn make_room(&mut self, took: Duration, cx: &mut Cx) {
         let crowded = self.lags.edge(CROWDED[0], CROWDED[2] / 3.0).is_some_and(|e| e >= bin(CROWDED[1]));
         if crowded && cx.now > self.cut + took {
--- a/crates/policy/src/policy/front.rs
+++ b/crates/policy/src/policy/front.rs
@@ -1,23 +1,27 @@
-//! RPCs, their picks and their waits.
+//! Dispatch of RPCs: retries, waiting, and final answers.
 
 use super::*;
 
-const SERVED_OVER: f64 = 3.0; // Seconds that the served rate is averaged over.
-/// An RPC that errs at so many nodes is bad itself; the repeat that showed it costs nothing.
+/// Seconds over which the rate of ok answers is averaged.
+const SERVED_OVER: f64 = 3.0;
+/// An RPC that gets an error from this many nodes is itself at fault; the repeat that showed it is free.
 const BAD: usize = 2;
-/// Keys that met the newest build are kept up to so many, once no earlier node is left.
+/// The recorded keys of the one-way rule are dropped beyond this number, once no earlier node is left.
 const MOST_KEYS: usize = 1 << 20;
-/// How much earlier an RPC of mean utility ranks among those that wait, in seconds.
+/// Seconds by which an RPC of mean utility is moved ahead in the waiting order.
 const HEAD_START: f64 = 0.2;
-const SPARE: f64 = 1.5; // Usual times before the soft deadline at which an RPC is given up.
+/// A waiting RPC is given up this many usual latencies before its soft deadline.
+const SPARE: f64 = 1.5;
 
 impl Front {
+    /// Handles one message.
     pub fn act(&mut self, note: Note, cx: &mut Cx) {
         match note {
             Note::Card(card) => self.file(card),
             Note::Favour { newest, new_first, starved } => {
                 if self.newest != newest {
-                    // Low-traffic marshals take turns: else all of them try a new build at once.
+                    // Marshals start at different credits, so that low-traffic ones do not all try a new
+                    // build at the same time.
                     (self.stale, self.due) = (true, [1.0, cx.law.phase]);
                 }
                 (self.newest, self.new_first, self.starved) = (newest, new_first, starved);
@@ -33,8 +37,8 @@
                 let (soft, until) = (cx.now + secs(duty.soft).min(left), cx.now + left);
                 let rank = soft.saturating_sub(secs(HEAD_START * duty.worth));
                 self.rpcs.insert(rpc, Rpc { method, key, soft, until, rank, ..Rpc::default() });
-                // Where the build's nodes took earlier ones' places, the rest must not be burdened more while
-                // it gets nothing, or the test would show only that: its part is asked to come back.
+                // Where the build's nodes replaced earlier ones, the remaining nodes must not get more load
+                // during an abstention, or the test would show only that: the build's part is pushed back.
                 self.spare += if self.starved && cx.law.rehearse.is_none() { self.lent() } else { 0.0 };
                 if slim || self.spare >= 1.0 {
                     self.spare -= if slim { 0.0 } else { 1.0 };
@@ -83,7 +87,7 @@
                 self.rpcs.entry(rpc).and_modify(|r| r.streaming = true);
             }
             Note::Told(Event::ClientLeft { rpc }) => {
-                // Its pick may still be answered ok, and its key has then met that build.
+                // Its pick may still be answered ok, and that build has then answered its key.
                 let out = self.rpcs.get(&rpc).and_then(|r| Some((r.key?, r.picks.iter().rfind(|p| p.out)?)));
                 self.gate.left.extend(out.map(|(key, pick)| (rpc, (key, pick.entry.build))));
                 self.forget(rpc);
@@ -99,14 +103,15 @@
             Note::Beat if cx.now >= self.counted + LOOK => {
                 let power = (self.fleet[0] + self.fleet[1]).max(1.0);
                 let step = (cx.now - self.counted).as_secs_f64().min(SERVED_OVER);
-                // Where nothing could be sent nothing was learnt, or cold nodes alone would stay barred.
+                // If nothing could be sent, nothing was learned; otherwise a fleet of cold nodes only would
+                // stay blocked.
                 if self.out(cx) + self.oks > 0.0 || !std::mem::take(&mut self.barred) {
                     self.gate.served += step / SERVED_OVER * (self.oks / step / power - self.gate.served);
                 }
                 (self.oks, self.counted, self.stale) = (0.0, cx.now, true);
                 let over = self.gate.news.is_some_and(|n| n.course == Course::Released);
                 if over && self.arms[0].is_empty() && self.gate.crossed.len() > MOST_KEYS {
-                    self.gate.crossed.clear(); // No earlier node is left that a key could go back to.
+                    self.gate.crossed.clear(); // No earlier node is left that a key could return to.
                 }
                 self.pulse = self.pulse.map(|x| x * (1.0 - step / KEPT[2]));
                 self.pulse[1] += step;
@@ -120,8 +125,9 @@
         }
     }
 
+    /// Gives up waiting RPCs without time left, and tries to send those that come first.
     fn pump(&mut self, cx: &mut Cx) {
-        // By a list that holds no longer nothing is sent: whoever waits is refused at once.
+        // With an expired node list nothing is sent: waiting RPCs are refused at once.
         let stale = !cx.lease.holds(cx.now);
         let late = |r: &Rpc| stale || cx.now + secs(SPARE * self.usual[r.method]) > r.soft;
         let hopeless = |w: &&(Duration, RpcIx)| self.rpcs.get(&w.1).is_some_and(late);
@@ -133,6 +139,7 @@
         }
     }
 
+    /// Sends an RPC, or queues it if others wait or it cannot be sent now.
     fn serve(&mut self, rpc: RpcIx, cx: &mut Cx) {
         if !self.waiting.is_empty() || !self.send(rpc, cx) {
             self.barred = true;
@@ -141,6 +148,8 @@
         }
     }
 
+    /// Answers an RPC without an answer of a node: pushed back if a client may safely retry, otherwise
+    /// aborted.
     fn give_up(&mut self, rpc: RpcIx, cx: &mut Cx) {
         let Some(r) = self.rpcs.get(&rpc) else { return };
         let come_back = secs(2.0 * self.usual[r.method]);
@@ -150,12 +159,13 @@
         self.forget(rpc);
     }
 
-    /// Another pick only where there is time; those that may have run spend from a small store, so that
-    /// failing nodes or an overload are not answered with a storm of repeats.
+    /// Repeats an RPC after a failed pick, if there is time. Repeats of picks that may have been executed
+    /// draw on the retry budget, so that failing nodes or an overload do not cause a retry storm.
     fn again(&mut self, rpc: RpcIx, never_ran: bool, cx: &mut Cx) {
         let (r, spent) = (&self.rpcs[&rpc], if never_ran { 0.0 } else { 1.0 });
         let bad = r.picks.iter().filter(|p| p.erred).count() >= BAD;
-        // It errs anywhere, or no repeat may show it: says nothing of node or build. First picks were booked.
+        // The RPC gets errors everywhere, or no repeat can show whether it does: its error proves nothing
+        // about node or build. Only first picks were recorded.
         let doubted = bad || (self.retries < spent && cx.law.repeatable(r.method));
         if let Some(&Pick { entry, at, .. }) = r.picks.first().filter(|p| p.erred && doubted) {
             cx.put(JUDGE, Note::Excused { entry, method: r.method, at });
--- a/crates/policy/src/policy/gate.rs
+++ b/crates/policy/src/policy/gate.rs
@@ -1,9 +1,10 @@
-//! The one place that every send passes.
+//! The rules that every send has to pass.
 
 use super::*;
 
 impl Gate {
-    /// Stage and cap if the build is on trial for this marshal; an unannounced one counts as in stage 0.
+    /// Stage and cap if the build is on trial as far as this marshal knows; an unannounced build counts as in
+    /// stage 0.
     fn trial(&self, cx: &Cx, build: Build) -> Option<(usize, f64)> {
         let news = self.news?;
         if build > news.build {
@@ -12,7 +13,8 @@
         (build == news.build && news.course != Course::Released).then_some((news.stage, news.cap))
     }
 
-    /// Rule 1 (time left), rule 2 (repeats), rule 3 (drains, told or deemed told), rule 5 (exposure), rule 4 (cold).
+    /// Checks all rules for a pick: rule 1 (time left), rule 2 (repeats), rule 3 (drains, announced or deemed
+    /// so), rule 5 (exposure), rule 4 (slow start of cold nodes).
     pub fn admits(&self, cx: &Cx, rpc: &Rpc, card: &Card) -> bool {
         (card.ready && cx.now < rpc.until && cx.lease.holds(cx.now))
             && self.may_repeat(cx, rpc, &card.entry)
@@ -20,6 +22,7 @@
             && self.warm_enough(cx, &card.entry)
     }
 
+    /// Rule 2: whether the RPC may be sent to this node after its earlier picks.
     pub fn may_repeat(&self, cx: &Cx, rpc: &Rpc, entry: &NodeEntry) -> bool {
         let barred = rpc.streaming || rpc.picks.len() >= cx.law.most_picks;
         if barred || (!cx.law.copies && rpc.picks.iter().any(|p| p.out)) {
@@ -37,12 +40,14 @@
         }
     }
 
+    /// Whether a client may safely retry the RPC: it may be executed again, or was never executed.
     pub fn may_push_back(cx: &Cx, rpc: &Rpc) -> bool {
         let repeat = cx.law.duties[rpc.method].repeat;
         let harmless = matches!(repeat, Repeat::Idempotent | Repeat::Tokened { group: Group::All, .. });
         harmless || rpc.picks.iter().all(|p| p.never_ran)
     }
 
+    /// Rule 5: whether the exposure budget and the one-way rule allow the node's build.
     fn exposable(&self, cx: &Cx, rpc: &Rpc, entry: &NodeEntry) -> bool {
         let (duty, rule) = (&cx.law.duties[rpc.method], &cx.law.exposure);
         let crossed = rpc.key.and_then(|key| self.crossed.get(&key));
@@ -58,8 +63,9 @@
         used + 1.0 <= self.free(cx) + cap * taken
     }
 
-    /// Peers are taken to send in proportion to what each has had answered: less than the fleet can do.
-    /// Budgets between whole RPCs are rounded by lot each window: hundreds of marshals add up to them.
+    /// Rule 4: whether a cold node has slow-start budget left. Peers are assumed to send in proportion to
+    /// their ok answers, which is less than the fleet can do. Fractional budgets are rounded randomly in each
+    /// window, as the budgets of hundreds of marshals add up.
     fn warm_enough(&self, cx: &Cx, entry: &NodeEntry) -> bool {
         let (age, law) = (cx.age(entry), &cx.law);
         if law.warm(age) {
--- a/crates/policy/src/policy/judge.rs
+++ b/crates/policy/src/policy/judge.rs
@@ -1,15 +1,16 @@
-//! What is known of both arms.
+//! Canary analysis: gathers the evidence on both arms.
 
 use super::*;
 
-/// Records are halved this often.
+/// Interval at which all records are halved.
 pub const HALVE: Duration = ms(5000);
-/// Peers' counts are told this often, and say nothing when older than the second figure.
+/// Interval at which counts are sent to peers, and the age beyond which received ones are ignored.
 const TELL: [Duration; 2] = [ms(1000), ms(3200)];
-/// A node errs by itself beyond this multiple of its arm's part of errors.
+/// A node counts as failing on its own beyond this multiple of its arm's error rate.
 const ODD: f64 = 2.0;
 
 impl Judge {
+    /// Handles one message.
     pub fn act(&mut self, note: Note, cx: &mut Cx) {
         match note {
             Note::Card(card) => {
@@ -33,7 +34,8 @@
                     let bin = bin(took / soft);
                     ledger.times[bin] += Tally::one(ok).good;
                     let calm = self.before.get(kind, slot);
-                    // Its time says nothing of strain where it erred, nor that of nodes on trial.
+                    // The latency of a failed pick, or of a node on trial, tells nothing about a slowdown of
+                    // the older arm.
                     let erred = matches!(outcome, Outcome::Error | Outcome::Garbled);
                     let asked = entry.build < self.newest && !erred;
                     let edge = calm.edge(CALM, LEAST_SAMPLE / 3.0).filter(|_| asked);
@@ -43,7 +45,8 @@
                 }
             }
             Note::Relieved => {
-                // A crowd in the last stage: what is known of lateness was met at unlike load, and is void.
+                // Congestion in the last stage: the latencies so far were measured at a different load and no
+                // longer apply.
                 self.relieved = cx.now;
                 let all = self.books.iter_mut().flat_map(Book::ledgers).chain(self.past.iter_mut());
                 all.for_each(Ledger::forget_lateness);
@@ -66,7 +69,7 @@
                 let Some((build, abstains, level, pairs)) = read_pairs(&text) else { return };
                 let Some(place) = self.place(from, level, &cx.law) else { return };
                 self.hear((level, place), (cx.now, build, pairs));
-                self.strain.joined |= abstains && build == self.newest; // All abstain together.
+                self.strain.joined |= abstains && build == self.newest; // All marshals abstain together.
             }
             Note::Told(event) => {
                 let Some((news, reply)) = News::read(cx, &event) else { return };
@@ -83,7 +86,8 @@
         }
     }
 
-    /// A newer build begins its trial. A released one's record becomes the older arm's; else it is struck.
+    /// Starts the trial of a newer build. The record of the previous one becomes the older arm's if that was
+    /// released, and is discarded otherwise.
     fn newer(&mut self, build: Build) {
         if build <= self.newest {
             return;
@@ -102,15 +106,17 @@
         self.places = self.older(build);
     }
 
-    /// An arm's ledgers by kind and method, without the quarter of its nodes that failed most: trouble of a
-    /// few nodes convicts no build. Too few on trial are held against the older arm's worst quarter instead.
+    /// Sums up an arm by kind and method, without the quarter of its nodes that failed most: trouble at a few
+    /// nodes convicts no build. With `few` nodes on trial, they are compared with the older arm's worst
+    /// quarter instead. `past` includes the nodes that are gone. Returns the number of the arm's nodes.
     fn arm(&mut self, new: bool, past: bool, few: bool) -> usize {
         let mine = |b: &&Book| b.ready && (b.entry.build == self.newest) == new;
         let faults = |b| (Book::faults(b), b);
         let mut books: Vec<(f64, &Book)> = self.books.iter().filter(mine).map(faults).collect();
         let quarter = books.len() / 4;
         books.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.entry.node.cmp(&b.1.entry.node)));
-        // Its errors are a node's own only beyond what all its arm meets: a lone one, or bad RPCs, are not.
+        // A node's errors are its own only beyond the rate of its whole arm: those of a single node in an
+        // arm, or of bad RPCs, are not.
         let mut total = Pair::default();
         books.iter().for_each(|b| join(&mut total, &b.1.sums()));
         let normal = |own: &Tally, all: &Tally| own.missed() <= 1.0 + ODD * own.n * (1.0 - all.mean());
@@ -122,13 +128,15 @@
         books.len()
     }
 
-    /// Released, or nearly all of the fleet: then it is watched against the record from before its trial.
+    /// Whether the newest build is released or runs on nearly the whole fleet, and so is compared with the
+    /// record from before its trial.
     pub fn alone(&self) -> bool {
         let released = self.news.is_some_and(|n| n.build == self.newest && n.course == Course::Released);
         released || 4 * self.ready(false) < self.ready(true)
     }
 
-    /// Questions to both arms: payoff, soundness by method, pace, spoilt answers, strain; and nodes on trial.
+    /// Collects the evidence of this marshal as a pair per question (payoff, soundness by method, pace,
+    /// corrupt answers, slowdown by method), and the number of nodes on trial.
     fn own_pairs(&mut self, cx: &Cx) -> (Vec<Pair>, usize) {
         let (nodes, alone) = (self.arm(true, false, false), self.alone());
         if !alone {
@@ -143,7 +151,8 @@
         for (at, method, n, o) in self.seen.cells(new, old) {
             join(&mut pairs[0], &[n.paid, o.paid]);
             join(&mut pairs[count + 2], &[n.whole, o.whole]);
-            // Alone, errors of methods that are not repeated may be those of bad RPCs, and nothing tells.
+            // Without an older arm, nothing tells whether the errors of methods that are not repeated come
+            // from bad RPCs.
             if !alone || cx.law.repeatable(method) {
                 join(&mut pairs[1 + at], &[n.sound, o.sound]);
             }
@@ -154,6 +163,7 @@
         (pairs, nodes)
     }
 
+    /// Ages the records, tells dispatch which arm comes first, exchanges counts with peers, and votes.
     fn look(&mut self, cx: &mut Cx) {
         self.looked = cx.now;
 
@@ -169,8 +179,9 @@
         let (mut pairs, nodes) = self.own_pairs(cx);
         let (new_first, starved) = (index(pairs[0][0]) >= index(pairs[0][1]), self.strain.since.is_some());
         cx.put(FRONT, Note::Favour { newest: self.newest, new_first, starved });
-        // Votes rest on own evidence, the platform's sums and fresh peers': at level k a marshal tells ring -
-        // 1 others what ring^k marshals up to itself counted, so that each is counted once.
+        // A vote rests on own evidence, the controller's counts, and recent counts of peers. At level k a
+        // marshal sends the sums over the ring^k marshals up to itself to ring - 1 others, so that each
+        // marshal is counted once.
         let due = cx.now >= self.told + TELL[0] || starved != std::mem::replace(&mut self.said, starved);
         let tell = due && self.tells(&cx.law);
         for level in 0..self.levels {
@@ -187,7 +198,9 @@
                 }
             }
         }
-        join(&mut pairs[0], &self.sums); // They count full nodes as failures: payoff, not soundness.
+        // The controller's counts include refusals by full nodes as failures: they are evidence of payoff,
+        // not soundness.
+        join(&mut pairs[0], &self.sums);
         self.vote(pairs, nodes, cx);
     }
 }
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -1,35 +1,41 @@
-//! When discovery is asked for the list of nodes, where it must be asked.
+//! When to call discovery for the node list, where calls are needed.
 //!
-//! The retry after a failure is owed until discovery itself has answered: only [`Scope::Full`] and [`Scope::Delta`] are
-//! its answers. What the marshal tells itself ([`Scope::Local`], [`Scope::Cached`]) never ends the duty to ask. Where the
-//! watch gives signs of life, one that gives none in time counts as failed, whoever follows it.
+//! A failed call is retried until discovery itself has answered: only [`Scope::Full`] and [`Scope::Delta`]
+//! are its answers. Updates made by the marshal ([`Scope::Local`], [`Scope::Cached`]) never end the retries.
+//! Where the watch gives signs of life, one that gives none in time counts as failed, whatever its connection
+//! looks like.
 //!
-//! Discovery handles calls in turn. Marshals that lose their watches together and retry quickly keep its queue so long
-//! that every call waits beyond its time: each costs a turn, and none is answered. Retries are therefore spread widely.
+//! Discovery handles calls one after another. If marshals lose their watches together and retry quickly, its
+//! queue grows so long that every call times out before its turn: each still costs a turn, and none is
+//! answered. Retries are therefore spread widely.
 
 use super::*;
 
-/// The first call after the start, where a list is known from before, comes within so many seconds.
+/// The first call after the start, where a list is known from before, is made within this many seconds.
 const FIRST_CALL: f64 = 2.5;
 
-/// The first call after a failure comes after so many seconds, drawn between both.
+/// The first retry after a failure is made after a random number of seconds in this range.
 const FIRST_RETRY: [f64; 2] = [0.5, 2.9];
 
-/// Each later one in a row: with 2 s in the queue, a whole fleet makes a call each 4.25 s a marshal.
+/// Range in seconds of each later retry: at 2 s in the queue, each marshal of a fleet makes a call every 4.25
+/// s.
 const LATER_RETRY: [f64; 2] = [0.5, 4.0];
 
-/// Where calls are not queued: within so many pauses, and so much longer after each of two more failures. Drawn anew between
-/// half and all of it: marshals that started together were turned away together.
+/// Retries where calls are not queued: the first within this many pauses, each later one within this multiple
+/// of the one before. Drawn between half and all of that: marshals that started together were also refused
+/// together.
 const UNQUEUED: [f64; 2] = [0.4, 2.0];
+/// Failures in a row up to which that delay grows.
 const MOST_DOUBLED: u32 = 3;
 
-/// A watch is taken as failed this long after its sign was due.
+/// A watch counts as failed this long after its sign of life was due.
 const OVERDUE: Duration = ms(1000);
 
-/// A call that is not answered, and whose failure is not told either, is made again after so many pauses.
+/// A call with neither an answer nor a reported failure is repeated after this many pauses.
 const UNHEARD: f64 = 4.0;
 
 impl Membership {
+    /// Handles one message.
     pub fn act(&mut self, note: Note, cx: &mut Cx) {
         let Some(pause) = cx.law.ask_pause else { return };
         match note {
@@ -43,7 +49,9 @@
                 self.sign_due = Some(cx.now + next_within);
             }
             Note::Beat if self.subscribed && self.sign_due.is_some_and(|due| cx.now > due + OVERDUE) => {
-                cx.out.push(Action::Log("the watch of the node list gives no sign of life".to_owned()));
+                cx.out.push(Action::Log(
+                    "node list watch gave no sign of life in time; subscribing again".to_owned(),
+                ));
                 self.subscribed = false;
             }
             Note::Beat if cx.lease.bounded() && !std::mem::replace(&mut self.begun, true) => {
@@ -58,8 +66,8 @@
         }
     }
 
-    /// How long after a failure the next call is made. Where a refusal comes at once and costs discovery nothing, as in the
-    /// simulator, sooner than where it is queued.
+    /// The delay between a failure and the next call. It is shorter where a refusal comes at once and costs
+    /// discovery nothing, as in the simulator, than where calls are queued.
     fn retry_after(&self, pause: f64, cx: &Cx) -> Duration {
         if cx.lease.bounded() {
             return Self::draw(if self.failures == 1 { FIRST_RETRY } else { LATER_RETRY }, cx);
@@ -69,20 +77,24 @@
         Self::limit(UNQUEUED[0] * pause * UNQUEUED[1].powi(doubled) * part, cx)
     }
 
-    /// No call has been made and no node is known from before: there is nothing to serve by meanwhile.
+    /// Whether no call has been made and no node is known from before, so that there is nothing to serve with
+    /// meanwhile.
     fn knows_nothing(&self, cx: &Cx) -> bool {
         !self.called && cx.listed.is_empty()
     }
 
+    /// Discovery has answered.
     fn answered(&mut self) {
         (self.subscribed, self.failures) = (true, 0);
     }
 
+    /// A random delay in this range of seconds.
     fn draw([least, most]: [f64; 2], cx: &Cx) -> Duration {
         let part = lot(cx.law.seed, cx.now.as_nanos() as u64);
         Self::limit(least + (most - least) * part, cx)
     }
 
+    /// A delay, limited to half of the longest allowed time without a call.
     fn limit(seconds: f64, cx: &Cx) -> Duration {
         secs(seconds).min(cx.law.ask_within / 2)
     }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! All decisions of one marshal, and all that is tuned. The interface is in `port.rs`, the reasons are in
+//! All decisions of one marshal, and all tuned values. The interface is in `port.rs`; the reasons are in
 //! `docs/design.md`.
-//! Each node is a small actor; front (RPCs), judge (builds, votes) and membership (when discovery is asked, how long its list holds) are the other parts.
-//! They talk only by notes in inboxes, which the loop in `marshal.rs` empties: nodes first, front last.
-//! What they keep is laid out in `state.rs`.
+//!
+//! Each node is a small actor. The other components are RPC dispatch, canary analysis with its votes, and the
+//! discovery client with the lease on the node list. They communicate only by messages in inboxes, which the
+//! loop in `marshal.rs` delivers: nodes first, dispatch last. Their state is defined in `state/`.
 
 mod choose;
 mod crowd;
@@ -22,22 +23,28 @@
 use crate::state::*;
 pub use {judge::HALVE, vote::MARGIN, widths::*};
 
-/// Waits and silences are looked at every beat, verdicts and idle marshals every look.
+/// Interval of ticks, which check waiting RPCs and silent nodes.
 pub const BEAT: Duration = ms(20);
+/// Interval of evaluations of the evidence, and of ticks while idle.
 pub const LOOK: Duration = ms(100);
-/// The most marshals that tell one another directly, and so many log their votes: more would say the same.
+/// The most marshals that exchange counts directly. Also the number of marshals that log their votes: more
+/// logs would repeat the same.
 pub const RING: usize = 8;
-/// Repeats of picks that may have run: earned per RPC taken, the seconds' worth in store, its least and most.
+/// Retry budget for picks that may have been executed: the gain per received RPC, the seconds of gain that it
+/// holds, and the bounds of its size.
 pub const RETRIES: [f64; 4] = [0.2, 4.0, 2.0, 20.0];
-/// The part of the soft deadline that an answer is taken to need before any has come.
+/// Assumed latency before the first answer, as a part of the soft deadline.
 pub const FIRST_GUESS: f64 = 1.0 / 6.0;
 /// A pick that times out before this part of the soft deadline was cut short by its client.
 const HASTY: f64 = 0.5;
-/// How many answers its kind and zone weigh in a node's pace, and its own at the most.
+/// The weight, in answers, of the mean of kind and zone in a node's expected latency, and the limit of the
+/// node's own weight.
 const MET: [f64; 2] = [6.0, 12.0];
-/// Each node used is met so often while an idle connection is kept; fewest nodes used; seconds of the rate.
+/// Subset size: each node used gets this many picks while an idle connection is kept; the least number of
+/// nodes; seconds over which the rate of RPCs is averaged.
 const KEPT: [f64; 3] = [20.0, 6.0, 10.0];
-/// Payoff is halved this often too: the older arm's must not rest on a calmer time than the build's.
+/// Interval at which payoff is halved in addition: the older arm's must not come from a calmer time than the
+/// new build's.
 const RENEW: Duration = ms(2000);
-/// The part of the older arm's answers that is brisk when calm.
+/// The part of the older arm's answers that count as quick without a slowdown.
 const CALM: f64 = 0.75;
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -1,14 +1,15 @@
-//! One node: its health, its pace, its silence.
+//! One node: health, expected latency, and detection of silence.
 
 use super::*;
 
 impl Node {
+    /// Handles one message, and publishes the node's status if it has changed.
     pub fn act(&mut self, note: Note, cx: &mut Cx) {
         let shown = self.card;
         match note {
             Note::Listed(entry) => {
                 if (entry.started, entry.build) != (self.card.entry.started, self.card.entry.build) {
-                    // A new process: what the earlier one did says nothing of it.
+                    // A new process: the earlier one's history does not apply.
                     let out = std::mem::take(&mut self.out);
                     *self = Node { out, took: FIRST_GUESS * cx.law.least_soft, ..Node::default() };
                 }
@@ -18,11 +19,11 @@
             Note::Told(Event::PickEnded { rpc, pick, outcome, took, .. }) => {
                 if let Some(i) = self.out.iter().position(|o| (o.0, o.1) == (rpc, pick)) {
                     let ((.., method, at, entry), took) = (self.out.swap_remove(i), took.as_secs_f64());
-                    // A client that leaves early says nothing of node or build.
+                    // A client that gives up early proves nothing about node or build.
                     let early = outcome == Outcome::Timeout && took < HASTY * cx.law.duties[method].soft;
                     let outcome = if early { Outcome::Cancelled } else { outcome };
                     self.learn(cx.now, outcome, took);
-                    // Repeats are RPCs that failed elsewhere: no fair sample of what a build does.
+                    // Repeats are RPCs that failed elsewhere, so they are a biased sample of a build.
                     if pick == 0 {
                         cx.put(JUDGE, Note::Booked { entry, method, at, outcome, took });
                     }
@@ -30,7 +31,7 @@
             }
             _ => {}
         }
-        // Silence: the oldest pick is overdue and nothing has been heard since it went out.
+        // Silent: the oldest pick is overdue, and nothing has come from the node since it was sent.
         let soft = cx.law.least_soft;
         let patience = secs((5.0 * self.took).clamp(0.3 * soft, 0.6 * soft));
         let oldest = self.out.iter().map(|o| o.3).min();
@@ -45,14 +46,15 @@
         cx.rouse(self.card.entry.node, !self.out.is_empty() || self.card.resting);
     }
 
-    /// Health from own outcomes: failures rest the node for growing spans, then it is tried gently. Guards
-    /// against dead, silent and quickly failing nodes; once most nodes rest, the front looks past it.
+    /// Outlier ejection by own outcomes: failures eject the node for growing periods, and then put it on
+    /// probation. Guards against dead, silent and quickly failing nodes; once most nodes are ejected,
+    /// dispatch ignores ejections.
     fn learn(&mut self, now: Duration, outcome: Outcome, took: f64) {
         let failed = match outcome {
             Outcome::Ok => 0.0,
             Outcome::Error | Outcome::Garbled | Outcome::Timeout => 1.0,
             Outcome::Reset | Outcome::NoConnection => 3.0,
-            Outcome::Full | Outcome::Cancelled | Outcome::Moot => return, // Full is not ill.
+            Outcome::Full | Outcome::Cancelled | Outcome::Moot => return, // A full node is not failing.
         };
         if outcome != Outcome::Timeout {
             self.heard = now;
--- a/crates/policy/src/policy/strain.rs
+++ b/crates/policy/src/policy/strain.rs
@@ -1,22 +1,27 @@
-//! The test by abstention.
+//! The abstention test: finds builds that slow down all nodes.
 
 use super::*;
 
-/// How far that falls under strain, and how much it must rise without the build.
+/// Drop in the part of quick answers that counts as a slowdown.
 const STRAINED: f64 = 0.08;
+/// Rise in the part of quick answers, without the build, that counts as a recovery.
 const EASED: f64 = 0.02;
-/// The test by abstention: how long the build gets nothing, the first part not counted, and then is watched.
+/// How long the build gets no traffic, the first part of that which is not counted, and how long the older
+/// arm is watched afterwards.
 const ABSTAIN: [Duration; 3] = [ms(4000), ms(1500), ms(5000)];
 
-/// Tells a build that slows all nodes in step with its traffic from other strain: while the older arm is
-/// slower than before the trial, the build gets nothing for a while. If that arm mostly recovers and is
-/// slowed again with the build's return, the build is guilty; else cleared for the stage. Hurts by its delay.
+/// Distinguishes a build that slows down all nodes in step with its traffic from other causes. While the
+/// older arm is slower than before the trial, the build gets no traffic for a while. If that arm mostly
+/// recovers, and is slowed again when the build's traffic returns, the build is guilty; otherwise it is
+/// cleared for the stage. Costs the delay of the test.
 impl Strain {
+    /// Records whether an answer of the older arm was quick, by when its pick was sent.
     pub fn book(&mut self, at: Duration, slot: usize, one: Tally) {
         let most = self.lately.len().max(slot + 1);
         self.lately.resize(most, Tally::default());
         self.off.resize(most, Tally::default());
-        // What was sent before the build's return, and is slow, ends after it: not counted.
+        // Picks sent before the build's traffic returned, and that are slow, end after it: they are not
+        // counted.
         match (self.since, self.relieved) {
             (None, Some(relieved)) if at < relieved + 5 * LOOK => {}
             (None, _) => self.lately[slot].add(one, 1.0),
@@ -25,7 +30,8 @@
         }
     }
 
-    /// All methods but the one that fares worst, if there are others: what slows one alone slows no nodes.
+    /// Sums over all methods without the slowest, if there are others: a slowdown of one method alone is not
+    /// a slowdown of the nodes.
     pub fn pool(mut each: Vec<Pair>) -> Pair {
         let brisk = |p: &Pair| (p[0].good + p[1].good) / (p[0].n + p[1].n).max(1e-9);
         let met = |p: &Pair| p[0].n + p[1].n > 0.0;
@@ -36,20 +42,20 @@
         sum
     }
 
-    /// Whether the build is held for strain, and whether it is guilty of it.
+    /// Advances the test. Returns whether the build is held for a slowdown, and whether it is guilty of it.
     pub fn weigh(
         &mut self, now: Duration, trial: (Build, usize), nodes: usize, [apart, lost]: [bool; 2],
         [off, on]: Pair,
     ) -> (bool, bool) {
         let calm = Tally { n: 1000.0, good: 1000.0 * CALM };
         let (var, joined) = (CALM * (1.0 - CALM), std::mem::take(&mut self.joined));
-        // Pooled: alone, a marshal may see too little.
+        // Pooled over marshals: one alone may see too little.
         let strained = below(on, calm, STRAINED, 0.5, var, DELTA);
         if strained && nodes == 0 {
-            self.cleared = Some(trial); // Slowed before the build had any node here.
+            self.cleared = Some(trial); // The slowdown came before the build had any node here.
         }
         if self.stage.replace(trial) != Some(trial) {
-            (self.since, self.relieved) = (None, None); // Another share of traffic: not comparable.
+            (self.since, self.relieved) = (None, None); // Another share of traffic is not comparable.
         }
         if self.cleared == Some(trial) {
             return (false, false);
@@ -64,7 +70,7 @@
                 self.off.fill(Tally::default());
             }
             (Some(since), _) if now >= since + ABSTAIN[0] => {
-                // Recovery by more than half counts: other troubles ease by themselves, and by less.
+                // A recovery must exceed half of the loss: other causes recover on their own, but by less.
                 let relief = eased && off.mean() > on.mean() + 0.4 * (CALM - on.mean());
                 self.relieved = relief.then_some(now);
                 (self.level, self.cleared) = (on.mean(), (!relief).then_some(trial));
@@ -76,7 +82,7 @@
         if self.since.is_none() {
             self.lately.iter_mut().for_each(|t| t.add(*t, -0.05));
         }
-        // Where no test can be made, holding the build teaches nothing.
+        // Where no test is possible, holding the build gives no information.
         (strained && apart || self.since.is_some() || self.relieved.is_some(), false)
     }
 }
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -1,37 +1,43 @@
-//! Verdicts and votes.
+//! Verdicts on the build on trial, and the votes sent for them.
 
 use super::*;
 
-/// Vote on after this from a stage's machines running; a stage counts as begun this long after its launch.
+/// Wait before a vote to promote, from when the stage's machines run.
 const ON_WAIT: Duration = ms(2500);
+/// A stage's machines count as running this long after its launch at the latest.
 const STAGE_LATEST: Duration = ms(9000);
-/// Where the desk counts: outcomes since the list named the last of the build's machines; the longest wait.
+/// Outcomes that the rollout controller, where it counts them, must have counted before a vote to promote,
+/// since the list named the last of the build's machines; and the longest wait for that.
 const TOLD: f64 = 30.0;
 const MOST_WAIT: Duration = ms(10_000);
-/// How much worse the new arm must be: payoff (the design's), soundness, pace (and more for few machines).
+/// How much worse the new arm must be: in payoff (by the design), in soundness, in pace (plus a term for few
+/// machines).
 pub const MARGIN: [f64; 4] = [0.05, 0.01, 0.16, 0.25];
-/// Evidence must stand against a build this long, for trouble in the fleet to show itself first: unsound;
-/// failing by the desk's counts of both arms; late or slow on trial; such when alone, with no older arm.
+/// How long evidence must be against a build, so that trouble in the fleet shows first: when unsound; when
+/// failing by the controller's counts of both arms; when late or slow on trial; when late or slow without an
+/// older arm.
 const PONDER: [Duration; 4] = [ms(800), ms(1500), ms(3000), ms(15_000)];
-/// The part of the fleet that must be sound for the test by abstention to tell anything.
+/// The part of the fleet that must be healthy for the abstention test to be conclusive.
 const WHOLE: f64 = 0.85;
 
 impl Judge {
+    /// Decides on a verdict from the pairs of all questions, and votes if that is due.
     pub fn vote(&mut self, mut pairs: Vec<Pair>, nodes: usize, cx: &mut Cx) {
         let live = |n: &News| matches!(n.course, Course::Released | Course::OnTrial);
         let Some(news) = self.news.filter(|n| n.build == self.newest && live(n)) else { return };
         let released = news.course == Course::Released;
-        // Its test ends with the trial, or nothing is sent to it, and all pushed back where it is alone.
+        // The abstention test ends with the trial. Otherwise nothing would be sent to a released build, and
+        // without an older arm all RPCs would be pushed back.
         self.strain.since = self.strain.since.filter(|_| !released);
-        // Questions: soundness by method, of all, spoilt answers, what the desk counted, payoff, pace; with
-        // margin and variance.
+        // Questions, each with margin and variance: soundness by method, soundness overall, corrupt answers,
+        // the controller's counts, payoff, pace.
         let (mut sound, payoff) = (Pair::default(), pairs.remove(0));
         let strain = Strain::pool(pairs.split_off(self.seen.len() + 2));
         let (whole, pace) = (pairs.pop().unwrap_or_default(), pairs.pop().unwrap_or_default());
         pairs.iter().for_each(|p| join(&mut sound, p));
         let var = |p: &Pair| p[1].mean() * (1.0 - p[1].mean());
-        // Any node may spoil answers, and the older arm's few are left out with its worst nodes: σ² is that
-        // of both arms if they are alike. Costs power against a build that spoils few.
+        // Any node may return corrupt answers, and the older arm's few are excluded with its worst nodes: σ²
+        // is that of both arms if they are alike. Costs power against a build that corrupts few answers.
         let pooled = |p: &Pair| {
             let mean = (p[0].good + p[1].good) / (p[0].n + p[1].n).max(1e-9);
             mean * (1.0 - mean)
@@ -43,11 +49,13 @@
             .chain([(self.sums, MARGIN[0], pooled(&self.sums))])
             .chain([(payoff, MARGIN[0], 0.25), (pace, slower, var(&pace))])
             .collect();
-        // Where few of many marshals can send a build back, each must be the surer: any of them may err.
+        // Where few of many marshals can roll a build back, each must be more certain, as any of them may
+        // err.
         let delta = DELTA * cx.law.back_part;
         let worse = |part: f64| asked.iter().position(|(p, m, v)| below(p[0], p[1], *m, part, *v, delta));
         let sound_nodes = self.sound();
-        // Before all of the stage's machines run, the test would clear it at an earlier stage's traffic.
+        // Before all of the stage's machines run, the test would clear the build at an earlier stage's
+        // traffic.
         let runs = cx.now >= self.begun(news, cx);
         let apart = runs && !self.alone() && sound_nodes >= WHOLE * self.places;
         let lost = ((self.ready(false) + self.ready(true)) as f64) < WHOLE * self.places;
@@ -64,23 +72,27 @@
         self.guilty = found.and(self.guilty.or(Some(cx.now)));
         let guilty = self.guilty.is_some_and(|since| cx.now >= since.max(calm) + ponder);
         let better = below(payoff[1], payoff[0], 0.0, 1.0, 0.25, DELTA);
-        // What the desk has counted of all marshals is a sample too: one of 300 never has one by itself.
+        // The controller's counts over all marshals are a sample too: one of 300 marshals never has enough by
+        // itself.
         let wait = if sound[0].n.max(self.sums[0].n) < LEAST_SAMPLE { 2 * ON_WAIT } else { ON_WAIT };
-        // It counts from the machines' start. The list may name them later: by time alone all consent unseen.
+        // The controller counts from the machines' start, and the list may name them later: with a wait
+        // alone, all marshals would vote to promote without evidence.
         let since = self.begun(news, cx).max(self.relieved);
         let told = self.tried >= TOLD || self.sums[1].n == 0.0 || cx.now >= since + MOST_WAIT;
         let ripe = better || (told && cx.now >= since + wait);
         let verdict = match found.or(worse(0.4)) {
             Some(_) if guilty => Verdict::Back,
-            lean if held || lean.is_some() => Verdict::None, // A vote on is taken back while it leans.
-            // Votes that can never stand together would only keep the desk from those back.
+            // An earlier vote to promote is withdrawn while the evidence leans against the build.
+            lean if held || lean.is_some() => Verdict::None,
+            // Votes that can never suffice would only displace votes to roll back at the controller.
             _ if ripe && !released && cx.law.by_votes && cx.law.on_votes <= cx.law.standing => Verdict::On,
             _ => return,
         };
         let (stage, build, life) = (news.stage, news.build, cx.law.vote_life);
         let wish = (verdict, stage, build);
-        // Where all marshals' votes are more than the desk takes, one that stands is renewed as it lapses,
-        // and who was turned away asks again by lot: slots for all come too late for the few that are needed.
+        // Where all marshals vote more often than the controller accepts, a vote that counts is renewed when
+        // it expires, and a refused one is repeated after a random time: a time slot for each marshal would
+        // come too late for the few votes that are needed.
         let draw = lot(cx.law.seed, self.cast.map_or(0, |c| c.1.as_nanos() as u64));
         let within = life.mul_f64(0.25 + 0.5 * draw);
         let soon = secs(cx.law.vote_gap * (0.05 + 0.4 * draw)).max(ms(200)).min(within);
@@ -108,10 +120,11 @@
         cx.out.push(Action::Vote { verdict, stage, build });
     }
 
-    /// When the present stage's machines have all started, as far as the list tells, or must have.
+    /// When the stage's machines had all started as far as the list shows, or the latest time by which they
+    /// must have.
     fn begun(&self, news: News, cx: &Cx) -> Duration {
         let trial = self.books.iter().filter(|b| b.ready && b.entry.build == news.build);
-        // Nodes from before the last release may have drained only after the trial began.
+        // Nodes from before the last release may drain only after the trial has begun.
         let successors = if cx.law.rehearse.is_none() { self.ready(true) } else { 0 };
         let stay = (self.ready(false) + successors) as f64;
         let share = cx.law.shares.get(news.stage).copied().unwrap_or(0.0);
--- a/crates/policy/src/policy/widths.rs
+++ b/crates/policy/src/policy/widths.rs
@@ -1,31 +1,36 @@
-//! The paper's index and widths.
+//! The paper's UCB index and confidence intervals.
 
 use super::*;
 
+/// Weight of the confidence interval in the UCB index.
 pub const ALPHA: f64 = 2.0;
+/// Error probability of a confidence interval.
 pub const DELTA: f64 = 0.05;
+/// Least number of outcomes for a comparison.
 pub const LEAST_SAMPLE: f64 = 10.0;
-/// A node counts for neither arm's payoff before this age.
+/// Below this age a node counts for neither arm's payoff.
 pub const YOUNG: Duration = ms(5000);
 
-/// ε of the design for `n` outcomes of variance `var`, at confidence `delta`.
+/// Half-width ε of the confidence interval, by the design, for `n` outcomes of variance `var` at error
+/// probability `delta`.
 pub fn width(n: f64, var: f64, delta: f64) -> f64 {
     let n = n.max(3.0);
     (2.0 * var / n * (3.0 * n.ln().powi(2) / delta).ln()).sqrt()
 }
 
-/// mean + α·ε, with the design's σ² of 1/4; an arm short of the least sample ranks first.
+/// UCB index: mean + α·ε, with the design's σ² of 1/4. An arm short of the least sample comes first.
 pub fn index(t: Tally) -> f64 {
     t.mean() + if t.n < LEAST_SAMPLE { f64::INFINITY } else { ALPHA * width(t.n, 0.25, DELTA) }
 }
 
-/// What was sent to a node then counts for no payoff.
+/// Whether a pick sent at `at` does not count for payoff, as the node had just started.
 pub fn young(entry: &NodeEntry, at: Duration) -> bool {
     entry.started.is_some_and(|start| at < start + YOUNG)
 }
 
-/// Arm `a` lies below `b` by more than the margin and the given part of both widths. σ² is what outcomes
-/// would have if the new build paid as the older one does, plus one outcome's doubt.
+/// Whether arm `a` lies below `b` by more than the margin and the given part of both half-widths. σ²
+/// (`spread`) is the variance that outcomes would have if the new build paid like the older one, plus the
+/// uncertainty of one outcome.
 pub fn below(a: Tally, b: Tally, margin: f64, part: f64, spread: f64, delta: f64) -> bool {
     let eps = |t: Tally| part * width(t.n, (spread + 1.0 / t.n).min(0.25), delta);
     a.n.min(b.n) >= LEAST_SAMPLE && a.mean() + eps(a) < b.mean() - eps(b) - margin
--- a/crates/policy/src/port.rs
+++ b/crates/policy/src/port.rs
@@ -1,30 +1,31 @@
-//! What the decision module is told and what it asks for, in plain types.
+//! The interface of the decision module: the events that it receives and the actions that it requests, in
+//! plain types.
 //!
-//! A driver makes one [`crate::Marshal`] from [`RolloutTerms`], then calls
-//! `handle(now, events) -> actions` whenever something has happened. Times are spans since an arbitrary
-//! start; nodes and RPCs are small indices that the driver hands out.
+//! A driver creates one [`crate::Marshal`] from [`RolloutTerms`], then calls `handle(now, events) -> actions`
+//! whenever something has happened. Times are durations since an arbitrary start; nodes and RPCs are small
+//! indices assigned by the driver.
 
 use std::time::Duration;
 
-/// A node, by the driver's index. The same index stands for the same address as long as it is listed.
+/// Index of a node, assigned by the driver. It denotes the same address as long as the node is listed.
 pub type NodeIx = usize;
-/// An RPC, by the driver's index; never reused while anything of the earlier one is outstanding.
+/// Index of an RPC, assigned by the driver; not reused while any pick of the earlier RPC is outstanding.
 pub type RpcIx = u32;
-/// A build's number; a later build has a higher one.
+/// Build number; later builds have higher numbers.
 pub type Build = u32;
 
-/// Whether an RPC of a method may run again.
+/// Whether an RPC of a method may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// May run again.
+    /// May be executed more than once.
     Idempotent,
-    /// Carries a token by which nodes of the group drop a repeat for `window`.
+    /// Carries a token by which the nodes of `group` discard repeats for `window`.
     Tokened { group: Group, window: Duration },
-    /// Must never run twice.
+    /// Must not be executed more than once.
     NonIdempotent,
 }
 
-/// The nodes that know one another's tokens.
+/// The nodes that share tokens and so recognize one another's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -32,118 +33,151 @@
     Cell,
 }
 
+/// Config of one method.
 #[derive(Clone, Debug)]
 pub struct MethodTerms {
     pub repeat: Repeat,
+    /// An answer within this time earns the full utility.
     pub soft_deadline: Duration,
-    /// The soft deadline grows by this multiple of the RPC's own work.
+    /// The soft deadline is extended by this multiple of the RPC's own work.
     pub stretch: f64,
+    /// Default and upper bound of the deadline of an RPC.
     pub deadline: Duration,
+    /// Utility of an answer within the soft deadline.
     pub utility: f64,
+    /// Utility of an answer after the soft deadline.
     pub late_utility: f64,
+    /// Answers are streamed.
     pub streamed: bool,
 }
 
+/// Config of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantTerms {
-    /// RPCs a second within its share, summed over all marshals.
+    /// Guaranteed rate in RPCs/s, summed over all marshals.
     pub quota: f64,
+    /// The tenant's share of the capacity.
     pub share: f64,
 }
 
-/// How a stage moves on.
+/// What advances a rollout from one stage to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
-    /// By votes.
+    /// Votes of the marshals.
     Votes,
-    /// By itself, unless held.
+    /// Time alone, unless the rollout is held.
     Clock,
 }
 
+/// Config of rollouts.
 #[derive(Clone, Debug)]
 pub struct ReleaseTerms {
     pub control: Control,
-    /// Votes needed to move on and to send back.
+    /// Votes needed to promote and to roll back.
     pub on_votes: usize,
     pub back_votes: usize,
-    /// Share of the fleet's places with the new build, by stage.
+    /// Share of the fleet's places that run the new build, by stage.
     pub shares: Vec<f64>,
-    /// Cap on exposure, by stage.
+    /// Exposure cap by stage: the part of the RPCs that the build on trial may get.
     pub caps: Vec<f64>,
+    /// The window over which exposure is counted.
     pub window: Duration,
+    /// Picks that the exposure budget grants in each window regardless of traffic.
     pub free: f64,
+    /// Exposure is counted by method rather than over all methods.
     pub by_method: bool,
-    /// In stages below this only idempotent methods may go to the build on trial.
+    /// In stages below this one, only idempotent methods may be sent to the build on trial.
     pub guarded_stages: usize,
-    /// A key answered by the new build goes to no earlier one.
+    /// A key that the new build has answered is never sent to an earlier build.
     pub one_way: bool,
-    /// Each node of the earlier build drains once its successor runs.
+    /// Each node of the earlier build drains once its replacement runs.
     pub in_place: bool,
+    /// The minimum time that a stage lasts once its nodes run.
     pub bake: Duration,
+    /// How long a vote counts.
     pub vote_life: Duration,
+    /// The pause before a vote whose outcome is unknown is sent again.
     pub vote_wait: Duration,
-    /// Votes a second that the platform takes from all marshals together.
+    /// Votes per second that the platform accepts from all marshals together.
     pub vote_rate: f64,
     /// Share of the wrong answers that clients report.
     pub flag_share: f64,
 }
 
+/// Config of the rules for every send.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleTerms {
+    /// How long a node may still be sent to after it was announced as draining.
     pub drain_grace: Duration,
+    /// Part of its capacity that a node has right after its start.
     pub cold_from: f64,
+    /// Time from a node's start to full capacity.
     pub warm_within: Duration,
+    /// Slow-start budget, as a multiple of the RPCs that a cold node is expected to answer in `fall_window`.
     pub fall_multiple: f64,
+    /// The window over which the slow-start budget is counted.
     pub fall_window: Duration,
-    /// Where discovery must be asked: the longest allowed silence without a subscription.
+    /// The longest time without a call to discovery while there is no subscription.
     pub ask_within: Duration,
-    /// Where the marshal speaks with discovery itself: how long a list may be sent by that it does not confirm. None: for
-    /// ever.
+    /// Bounds the use of an unconfirmed node list, where the marshal talks to discovery itself. None: the
+    /// list stays valid forever.
     pub list_lease: Option<ListLeaseTerms>,
 }
 
-/// When what discovery has to tell counts as told, whether or not it has arrived.
+/// When a change known to discovery counts as delivered, whether or not it has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLeaseTerms {
-    /// This long after discovery had it and could be reached.
+    /// This long after discovery knew the change and was reachable.
     pub told_within: Duration,
-    /// This long after new terms came into force.
+    /// This long after a new config came into force.
     pub told_after_reload: Duration,
 }
 
+/// Limits of the marshal, and the optional features of its platform.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitTerms {
+    /// Maximum picks per RPC.
     pub most_picks: usize,
+    /// An RPC may have more than one pick in flight.
     pub second_copies: bool,
+    /// Picks can be cancelled.
     pub cancel: bool,
+    /// Nodes can be probed.
     pub probes: bool,
+    /// Marshals can send data to one another.
     pub peers: bool,
-    /// Idle connections are closed after this long.
+    /// Idle connections are closed after this time.
     pub idle_kept: Duration,
-    /// The longest come-back time that a push-back may carry; none where it is not conveyed.
+    /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
     pub retry_after: Option<Duration>,
 }
 
-/// All that a marshal is told at its start.
+/// The complete config of a marshal.
 #[derive(Clone, Debug)]
 pub struct RolloutTerms {
     pub seed: u64,
+    /// Index of this marshal among all.
     pub marshal: usize,
+    /// Number of marshals.
     pub marshals: usize,
+    /// The zone in which this marshal runs.
     pub zone: usize,
-    /// The list of nodes must be asked for.
+    /// The marshal must request the node list from discovery.
     pub ask_discovery: bool,
     pub methods: Vec<MethodTerms>,
     pub tenants: Vec<TenantTerms>,
+    /// Factor on the utility of answers to a tenant beyond its share.
     pub over_share_utility: f64,
-    /// A node works less for a key that it met lately.
+    /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
+    /// Number of node kinds.
     pub kinds: usize,
     pub release: ReleaseTerms,
     pub rules: RuleTerms,
     pub limits: LimitTerms,
 }
 
+/// Whether a node accepts new work, as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
     Ready,
@@ -152,112 +186,119 @@
     Gone,
 }
 
+/// A node as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeEntry {
     pub node: NodeIx,
-    /// The same at every marshal, from the node's address; no order or place can be read from it.
+    /// Hash of the node's address, the same at every marshal; it carries no order or location.
     pub name: u64,
+    /// Machine type.
     pub kind: usize,
+    /// Capacity in relation to other nodes; 0 where unknown.
     pub power: f64,
     pub cell: usize,
     pub zone: usize,
     pub readiness: Readiness,
-    /// When it last started; none means long ago.
+    /// When its process started; none means long ago.
     pub started: Option<Duration>,
     pub build: Build,
 }
 
-/// What the module is told of a list too large for it: a part of the nodes. By arm, the earlier builds' first.
+/// Which part of the nodes the module is told of, where the list is too large for one marshal. Arrays hold
+/// the arm of the earlier builds first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sight {
-    /// The newest build listed; all others are the earlier arm's.
+    /// The newest build listed; all others belong to the arm of the earlier builds.
     pub newest: Build,
-    /// The part of the arm's ready nodes that is told.
+    /// The part of the arm's ready nodes that this module is told of.
     pub seen: [f64; 2],
-    /// The part of all marshals that are told of a node of the arm.
+    /// The part of all marshals that are told of any given node of the arm.
     pub holders: [f64; 2],
 }
 
 impl Default for Sight {
-    /// All are told to all.
+    /// Every marshal is told of all nodes.
     fn default() -> Self {
         Sight { newest: 0, seen: [1.0; 2], holders: [1.0; 2] }
     }
 }
 
 impl Sight {
-    /// The part of the nodes of a build's arm that is told.
+    /// The part of the nodes in a build's arm that this module is told of.
     pub fn seen(&self, build: Build) -> f64 {
         self.seen[usize::from(build == self.newest)]
     }
-    /// The part of all marshals that are told of a node of a build.
+    /// The part of all marshals that are told of any given node of a build.
     pub fn holders(&self, build: Build) -> f64 {
         self.holders[usize::from(build == self.newest)]
     }
 }
 
-/// Whose word an indication of nodes is, and how much of the list it carries.
+/// The origin of a node list update, and whether it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// A call to discovery failed, or the subscription broke; no entries.
+    /// A call to discovery failed, or the subscription broke; without entries.
     Failed,
-    /// The whole list as it was known before the start.
+    /// The complete list from before the start.
     Cached,
-    /// Discovery's answer: the whole list.
+    /// Discovery's answer: the complete list.
     Full,
-    /// Discovery's answer: what has changed, possibly nothing.
+    /// Discovery's answer: the changes, possibly none.
     Delta,
-    /// Changes that the marshal itself makes to what it has told, such as by new terms. Discovery has said nothing, so
-    /// this proves nothing of the subscription.
+    /// A change made by the marshal itself, such as by a new config. It did not come from discovery, so it
+    /// proves nothing about the subscription.
     Local,
 }
 
-/// What a call showed of discovery, where the marshal speaks with it itself.
+/// What a call revealed about discovery, where the marshal talks to it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoverySign {
-    /// An answer came whole: the list was known in full at `as_of`. The next sign is due within `next_within`.
+    /// A complete answer: the list was known in full at `as_of`. The next sign is due within `next_within`.
     Confirmed { as_of: Duration, next_within: Duration },
-    /// Discovery itself ended a watch that it had granted: it is going down. The list was known in full until now.
+    /// Discovery itself ended an established watch: it is shutting down. The list was known in full until
+    /// now.
     WentDown,
-    /// Nobody listens at its address.
+    /// Nothing listens at its address.
     Unreachable,
-    /// A call of this time was refused after a wait: discovery is down, or has too many callers.
+    /// A call made at `asked` was refused after a wait: discovery is down, or has too many callers.
     RefusedLate { asked: Duration },
-    /// A call was refused without a wait, or accepted and not answered: discovery is up.
+    /// A call was refused at once, or accepted and not answered: discovery is up.
     Lives,
-    /// New terms are in force.
+    /// A new config is in force.
     Reloaded,
 }
 
-/// How a pick or a probe ended.
+/// How a pick or a probe ended, and whether it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Ok,
-    /// The node said so; it may have run.
+    /// The node answered with an error; may have been executed.
     Error,
-    /// What came back is no answer; it may have run. Not the word of the build: any node's connection may spoil one.
+    /// The answer could not be read; may have been executed. This does not implicate the build: a fault on
+    /// the connection to any node may corrupt an answer.
     Garbled,
-    /// Turned away unseen; never ran.
+    /// The node refused it unread; not executed.
     Full,
-    /// No answer in time; may have run.
+    /// No answer in time; may have been executed.
     Timeout,
-    /// No connection; never ran.
+    /// No connection; not executed.
     NoConnection,
-    /// Connection lost; may have run.
+    /// Connection lost; may have been executed.
     Reset,
-    /// Withdrawn; may have run.
+    /// Cancelled; may have been executed.
     Cancelled,
-    /// Not issued; never ran.
+    /// Not sent; not executed.
     Moot,
 }
 
 impl Outcome {
-    /// The outcome proves that the pick never ran.
+    /// Whether the outcome proves that the pick was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
     }
 }
 
+/// State of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Course {
     OnTrial,
@@ -266,39 +307,48 @@
     Withdrawn,
 }
 
-/// What a stage indication answers.
+/// The vote outcome that a stage event answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteReply {
+    /// The event answers no vote.
     Unasked,
+    /// The vote counts.
     Counts,
+    /// The vote makes no difference any more.
     Moot,
+    /// The rollout controller takes no more votes at present.
     Full,
+    /// The vote was answered with an error.
     Error,
-    /// No answer; it may count.
+    /// No answer; the vote may count.
     Silent,
 }
 
-/// A node's load figures, where conveyed.
+/// Load figures that a node reports, where conveyed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub in_flight: Option<f64>,
     pub queue: Option<f64>,
+    /// Utilization.
     pub busy: Option<f64>,
+    /// Mean latency in milliseconds.
     pub latency: Option<f64>,
+    /// RPCs per second.
     pub rate: Option<f64>,
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
+/// What the driver reports to the module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Nodes {
-        scope: Scope,
-        nodes: Vec<NodeEntry>,
-    },
-    /// Said beside the nodes; never by the simulator, where a broken subscription is told.
+    /// The node list or a change of it, or a failure to get one.
+    Nodes { scope: Scope, nodes: Vec<NodeEntry> },
+    /// Sent in addition to `Nodes`; never by the simulator, which reports a broken subscription instead.
     Discovery(DiscoverySign),
-    /// Said before the nodes that it speaks of; never where all are told.
+    /// Sent before the `Nodes` event that it applies to; never where the module is told of all nodes.
     Sight(Sight),
+    /// An RPC of a client. `left`: time until its deadline; `repeated`: the client itself has sent it before.
     Rpc {
         rpc: RpcIx,
         method: usize,
@@ -308,7 +358,7 @@
         work: Option<Duration>,
         repeated: bool,
     },
-    /// `done`: the RPC has its final answer, by this outcome or earlier.
+    /// A pick ended. `done`: the RPC has its final answer, by this outcome or an earlier one.
     PickEnded {
         rpc: RpcIx,
         pick: usize,
@@ -318,99 +368,85 @@
         done: bool,
         load: Load,
     },
-    StreamBegun {
-        rpc: RpcIx,
-        pick: usize,
-        node: NodeIx,
-        took: Duration,
-    },
-    /// The client has left; no answer is owed.
-    ClientLeft {
-        rpc: RpcIx,
-    },
-    Stage {
-        build: Build,
-        stage: usize,
-        course: Course,
-        reply: VoteReply,
-        cap: f64,
-        age: Duration,
-    },
-    /// The platform's count of a sample of all picks in one past period.
-    Sums {
-        build: Build,
-        method: usize,
-        picks: u32,
-        failed: u32,
-        mean: Duration,
-        age: Duration,
-    },
-    /// A client found an answer wrong.
-    Disputed {
-        node: NodeIx,
-        method: usize,
-        age: Duration,
-    },
-    Probed {
-        node: NodeIx,
-        outcome: Outcome,
-        took: Duration,
-        load: Load,
-    },
-    Peer {
-        from: usize,
-        text: Vec<u8>,
-    },
-    Timer {
-        tag: u64,
-    },
+    /// The first part of a streamed answer has arrived.
+    StreamBegun { rpc: RpcIx, pick: usize, node: NodeIx, took: Duration },
+    /// The client has left; no answer is needed.
+    ClientLeft { rpc: RpcIx },
+    /// The state of a rollout, as the rollout controller reports it. `age`: time since the stage was
+    /// launched.
+    Stage { build: Build, stage: usize, course: Course, reply: VoteReply, cap: f64, age: Duration },
+    /// The platform's counts over a sample of all picks of one past period.
+    Sums { build: Build, method: usize, picks: u32, failed: u32, mean: Duration, age: Duration },
+    /// A client reported an answer as wrong.
+    Disputed { node: NodeIx, method: usize, age: Duration },
+    /// A probe ended.
+    Probed { node: NodeIx, outcome: Outcome, took: Duration, load: Load },
+    /// Data from another marshal.
+    Peer { from: usize, text: Vec<u8> },
+    /// A requested wake-up is due.
+    Timer { tag: u64 },
 }
 
+/// A vote on a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// Neither; withdraws an earlier vote.
     None,
+    /// Promote to the next stage.
     On,
+    /// Stay in the stage.
     Hold,
+    /// Roll back.
     Back,
 }
 
+/// What the module asks the driver to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the RPC to a node, for at most `within`.
+    /// Send the RPC to a node and wait for at most `within`.
     Pick {
         rpc: RpcIx,
         node: NodeIx,
         within: Duration,
     },
+    /// Answer "pushed back": the client may send the RPC again.
     PushBack {
         rpc: RpcIx,
         retry_after: Option<Duration>,
     },
+    /// Answer "aborted": the RPC may have been executed.
     Abort {
         rpc: RpcIx,
     },
+    /// Cancel a pick.
     Cancel {
         rpc: RpcIx,
         pick: usize,
     },
+    /// Call `handle` again after this time.
     Wake {
         after: Duration,
         tag: u64,
     },
+    /// Probe a node.
     Probe {
         node: NodeIx,
     },
+    /// Close idle connections to a node.
     CloseIdle {
         node: NodeIx,
     },
-    /// To one marshal, or to all others.
+    /// Send data to one marshal, or to all others where `to` is none.
     Tell {
         to: Option<usize>,
         text: Vec<u8>,
     },
     Log(String),
+    /// Start or end the subscription to the node list.
     Subscribe(bool),
+    /// Request the node list once.
     FetchList,
+    /// Send a vote to the rollout controller.
     Vote {
         verdict: Verdict,
         stage: usize,
--- a/crates/policy/src/state/chance.rs
+++ b/crates/policy/src/state/chance.rs
@@ -1,4 +1,4 @@
-//! Chance by hash, spans, and what is lately.
+//! Pseudorandom numbers, durations, and small helpers on timestamps and nodes.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::VecDeque;
@@ -7,12 +7,15 @@
 
 use crate::port::*;
 
+/// Timestamps in ascending order.
 pub type Times = VecDeque<Duration>;
 
+/// Counts the timestamps within the last `window`.
 pub fn recent(times: Option<&Times>, now: Duration, window: Duration) -> f64 {
     times.map_or(0, |t| t.iter().rev().take_while(|&&at| at + window > now).count()) as f64
 }
 
+/// A node's relative capacity, 1 where unknown.
 pub fn power(entry: &NodeEntry) -> f64 {
     if entry.power > 0.0 {
         entry.power
@@ -21,26 +24,29 @@
     }
 }
 
-/// Chance: the hash of the seed and a counter.
+/// Pseudorandom number: the hash of a seed and a counter.
 pub fn chance(seed: u64, draw: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (seed, draw).hash(&mut hasher);
     hasher.finish()
 }
 
-/// The same as a figure from 0 to 1.
+/// Pseudorandom number between 0 and 1.
 pub fn lot(seed: u64, draw: u64) -> f64 {
     chance(seed, draw) as f64 / u64::MAX as f64
 }
 
+/// Duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// Duration of `s` seconds; negative values become 0.
 pub fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s.max(0.0))
 }
 
+/// Whether two nodes share tokens in a group of this scope.
 pub fn same_group(group: Group, a: &NodeEntry, b: &NodeEntry) -> bool {
     match group {
         Group::All => true,
--- a/crates/policy/src/state/charter.rs
+++ b/crates/policy/src/state/charter.rs
@@ -1,69 +1,103 @@
-//! The figures that decisions use, derived from the start terms.
+//! The config as the decisions use it.
 
 use std::time::Duration;
 
 use crate::port::*;
 
-/// The figures that decisions use, derived from the start terms.
+/// The config as the decisions use it, derived from [`RolloutTerms`].
 pub struct Charter {
+    /// By method.
     pub duties: Vec<Duty>,
+    /// The shortest soft deadline of all methods, in seconds.
     pub least_soft: f64,
     pub exposure: Exposure,
+    /// Maximum picks per RPC.
     pub most_picks: usize,
+    /// An RPC may have more than one pick in flight.
     pub copies: bool,
+    /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
     pub retry_after: Option<Duration>,
+    /// Part of its capacity that a node has right after its start.
     pub cold_from: f64,
+    /// Time from a node's start to full capacity.
     pub warming: Duration,
+    /// The window over which the slow-start budget is counted.
     pub fall_window: Duration,
+    /// Slow-start budget of a window, in seconds of the node's expected rate of answers.
     pub fall_budget: f64,
+    /// Votes, not time, advance a rollout.
     pub by_votes: bool,
+    /// Share of the fleet's places that run the new build, by stage.
     pub shares: Vec<f64>,
+    /// How long a vote counts.
     pub vote_life: Duration,
+    /// The pause before a vote whose outcome is unknown is sent again.
     pub vote_wait: Duration,
-    /// Seconds a vote that all marshals together may send.
+    /// Seconds between one marshal's votes if all marshals vote at the full rate that the rollout controller
+    /// accepts.
     pub vote_gap: f64,
-    /// Votes that a vote on needs, and the most that can stand at once: the desk takes twice its rate at once.
+    /// Votes needed to promote.
     pub on_votes: f64,
+    /// The most votes that can count at the same time: the rollout controller takes a burst of twice its
+    /// rate.
     pub standing: f64,
-    /// The part of all marshals that can send a build back.
+    /// The part of all marshals whose votes suffice to roll a build back.
     pub back_part: f64,
+    /// Marshals can send data to one another.
     pub peers: bool,
-    /// The last stage, where the earlier machines stay until the release.
+    /// The last stage, during which the earlier build's machines stay until the release; none where nodes are
+    /// replaced in place.
     pub rehearse: Option<usize>,
+    /// Number of node kinds.
     pub kinds: usize,
+    /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
+    /// Base pause in seconds between calls to discovery, spread over the marshals; none where discovery needs
+    /// no calls.
     pub ask_pause: Option<f64>,
-    /// The longest silence towards discovery without a subscription.
+    /// The longest time without a call to discovery while there is no subscription.
     pub ask_within: Duration,
     pub seed: u64,
-    /// This marshal's place among all, from 0 to 1.
+    /// This marshal's index as a part of all, from 0 to 1.
     pub phase: f64,
     /// Seconds for which an idle connection is kept.
     pub kept: f64,
+    /// Number of marshals, at least 1.
     pub marshals: f64,
+    /// The same as an integer.
     pub crowd: usize,
+    /// Index of this marshal.
     pub marshal: usize,
 }
 
-/// What is owed to a method's RPCs.
+/// Config of one method.
 pub struct Duty {
+    /// Whether its RPCs may be executed more than once.
     pub repeat: Repeat,
+    /// Soft deadline in seconds.
     pub soft: f64,
-    /// Utility against the mean of all methods.
+    /// Utility in relation to the mean of all methods.
     pub worth: f64,
-    /// Where exposure counts this method.
+    /// Index of the exposure budget that counts this method.
     pub slot: usize,
 }
 
+/// Config of the exposure budget of a build on trial.
 pub struct Exposure {
+    /// Exposure cap in stage 0.
     pub first_cap: f64,
+    /// The window over which exposure is counted.
     pub window: Duration,
+    /// Picks that the budget grants in each window regardless of traffic.
     pub free: f64,
+    /// In stages below this one, only idempotent methods may be sent to the build on trial.
     pub guarded: usize,
+    /// A key that the new build has answered is never sent to an earlier build.
     pub one_way: bool,
 }
 
 impl Charter {
+    /// Derives the figures from the start config.
     pub fn new(terms: &RolloutTerms) -> Self {
         let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
         let mean = terms.methods.iter().map(|m| m.utility).sum::<f64>() / terms.methods.len() as f64;
@@ -109,17 +143,17 @@
         }
     }
 
-    /// An RPC that erred may be sent again.
+    /// Whether an RPC of this method may be sent again after an error.
     pub fn repeatable(&self, method: usize) -> bool {
         self.duties[method].repeat != Repeat::NonIdempotent
     }
 
-    /// From this age on a node needs no budget.
+    /// Whether a node of this age is fully warmed up and no longer bound by a slow-start budget.
     pub fn warm(&self, age: Duration) -> bool {
         age >= self.warming + self.fall_window
     }
 
-    /// The least part of its capacity that a node has at some age.
+    /// The least part of its capacity that a node of this age has, growing linearly while it warms up.
     pub fn present(&self, age: Duration) -> f64 {
         let grown = age.as_secs_f64() / self.warming.as_secs_f64().max(0.001);
         self.cold_from + (1.0 - self.cold_from) * grown.min(1.0)
--- a/crates/policy/src/state/judge.rs
+++ b/crates/policy/src/state/judge.rs
@@ -1,60 +1,75 @@
-//! What judge and scout keep.
+//! State of canary analysis: the evidence on both arms, what peers sent, and this marshal's vote.
 
 use std::collections::BTreeMap;
 
 use super::*;
 
+/// Evidence on the older arm and the newest build, and the vote that follows from it.
 #[derive(Default)]
 pub struct Judge {
+    /// By node index.
     pub books: Vec<Book>,
-    /// What part of the list they are.
+    /// Which part of all nodes these are.
     pub sight: Sight,
-    /// What older builds did on nodes that are gone, by kind and method.
+    /// Outcomes of older builds on nodes that are gone, by kind and method.
     pub past: Sums,
-    /// What the earlier build did before the present trial.
+    /// Outcomes of the earlier build before the present trial.
     pub before: Sums,
     /// The older arm and the newest build, as last summed up.
     pub arms: [Arm; 2],
+    /// The methods that have had traffic.
     pub seen: Seen,
+    /// The newest build listed or announced.
     pub newest: Build,
+    /// Ready nodes of older builds when the trial began: the size of the fleet.
     pub places: f64,
+    /// The rollout as the controller last reported it.
     pub news: Option<News>,
-    /// What peers summed, by level and place in the ring.
+    /// Latest counts of peers, by level and place in the ring: time of arrival, build, and a pair per
+    /// question.
     pub heard: BTreeMap<(u32, usize), (Duration, Build, Vec<Pair>)>,
+    /// Number of marshals in a ring.
     pub ring: usize,
+    /// Number of levels of rings.
     pub levels: u32,
-    /// Methods that are known.
+    /// Number of configured methods.
     pub count: usize,
+    /// Outcomes that the rollout controller has counted over all marshals.
     pub sums: Pair,
-    /// The last vote, when it was sent, and what was said of it.
+    /// The last vote (verdict, stage, build), when it was sent, and the reply.
     pub cast: Option<((Verdict, usize, Build), Duration, VoteReply)>,
     pub strain: Strain,
-    /// Since when the evidence has stood against the build.
+    /// Since when the evidence has been against the build.
     pub guilty: Option<Duration>,
-    /// When the earlier nodes were last called to help in the last stage.
+    /// When the earlier build's nodes last began to take traffic in the last stage.
     pub relieved: Duration,
-    /// When a node last came or went.
+    /// When a node last appeared or disappeared.
     pub stirred: Duration,
-    /// When the list last named another machine of the newest build, and what the desk has counted of the build since.
+    /// When the list last named another machine of the newest build.
     pub manned: Duration,
+    /// Outcomes of the newest build that the rollout controller has counted since then.
     pub tried: f64,
+    /// When all records were last halved.
     pub halved: Duration,
+    /// When payoff records were last halved in addition.
     pub renewed: Duration,
+    /// When counts were last sent to peers.
     pub told: Duration,
-    /// Whether the build got nothing when peers were last told.
+    /// Whether the last counts sent to peers said that this marshal abstains from the build.
     pub said: bool,
+    /// When the evidence was last evaluated.
     pub looked: Duration,
 }
 
 impl Judge {
-    /// Takes the methods and kinds that there are now; those known keep their records.
+    /// Adopts the present methods, kinds and rings; known methods keep their records.
     pub fn lay_out(&mut self, law: &Charter, (ring, levels): (usize, u32)) {
         [&mut self.past, &mut self.before].into_iter().for_each(|sums| sums.limit(law.kinds));
         (self.count, self.ring, self.levels) = (law.duties.len(), ring, levels);
-        self.heard.clear(); // Peers may count other methods, or stand elsewhere in the rings.
+        self.heard.clear(); // Peers may have other methods, or other places in the rings.
     }
 
-    /// Files a node as it shows itself now.
+    /// Takes over a node's status. The record of a process that has ended is cleared.
     pub fn listed(&mut self, card: &Card, cx: &Cx) {
         if self.books.len() <= card.entry.node {
             self.books.resize_with(card.entry.node + 1, Book::default);
@@ -69,7 +84,7 @@
             (self.manned, self.tried) = (cx.now, 0.0);
         }
         if fresh || !card.ready {
-            // The old arm's record outlives its nodes.
+            // The older arm's record outlives its nodes.
             if book.entry.build < self.newest {
                 book.add_to(&mut self.past);
             }
@@ -83,8 +98,8 @@
         book.entry.kind = kind;
     }
 
-    /// Where in this marshal's ring of a level the sender sits; only who sits a whole number of spans before it
-    /// sums what nobody else there does.
+    /// The sender's place in this marshal's ring of a level. Only a sender a whole number of spans before
+    /// this marshal reports sums that no other member of the ring covers; all others give none.
     pub fn place(&self, from: usize, level: u32, law: &Charter) -> Option<usize> {
         let back = (law.marshal + law.crowd).checked_sub(from)? % law.crowd;
         let span = self.ring.pow(level.min(self.levels));
@@ -92,7 +107,7 @@
         (level < self.levels && back.is_multiple_of(span) && (1..self.ring).contains(&place)).then_some(place)
     }
 
-    /// Halves all records, but for that of an arm without nodes.
+    /// Halves all records, except that of gone nodes while the older arm has no nodes.
     pub fn halve(&mut self) {
         self.books.iter_mut().flat_map(Book::ledgers).for_each(Ledger::halve);
         if self.ready(false) > 0 {
@@ -101,12 +116,13 @@
         self.sums.iter_mut().for_each(|t| t.add(*t, -0.5));
     }
 
-    /// How many listed nodes are as these books: each stands for those of its arm that are not told.
+    /// Extrapolates the number of listed nodes from these: each stands for those of its arm that this marshal
+    /// is not told of.
     fn count<'a>(&self, books: impl Iterator<Item = &'a Book>) -> f64 {
         books.map(|b| 1.0 / self.sight.seen(b.entry.build)).sum()
     }
 
-    /// Takes what a peer summed. Methods that it has met are seen from now on.
+    /// Stores counts received from a peer. Methods in them count as observed from now on.
     pub fn hear(&mut self, place: (u32, usize), said: (Duration, Build, Vec<Pair>)) {
         let met = |p: &Pair| p.iter().any(|t| t.n > 0.0);
         if said.2.len() == self.questions() {
@@ -119,31 +135,34 @@
         self.heard.insert(place, said);
     }
 
-    /// How many questions are asked of all methods that are known.
+    /// Number of questions over all configured methods: payoff, pace and corrupt answers, and by method
+    /// soundness and slowdown.
     fn questions(&self) -> usize {
         2 * self.count + 3
     }
 
-    /// Peers are told, and know that build.
+    /// Whether to send counts to peers: they can be reached, the counts fit into a message, and an earlier
+    /// build has been measured.
     pub fn tells(&self, law: &Charter) -> bool {
         law.peers && self.questions() <= MOST_QUESTIONS && self.before.iter().any(|l| l.paid.n > 0.0)
     }
 
-    /// Answers to the questions about all methods, from those about methods seen.
+    /// Expands pairs for the observed methods to pairs for all configured methods.
     pub fn whole(&self, pairs: &[Pair]) -> Vec<Pair> {
         let mut all = vec![Pair::default(); self.questions()];
         self.seen.places(self.count).zip(pairs).for_each(|(at, pair)| all[at] = *pair);
         all
     }
 
-    /// Adds what a peer summed, where it asks the same.
+    /// Adds a peer's counts, provided that the peer has the same number of questions.
     pub fn join(&self, pairs: &mut [Pair], theirs: &[Pair]) {
         if theirs.len() == self.questions() {
             pairs.iter_mut().zip(self.seen.places(self.count)).for_each(|(a, at)| join(a, &theirs[at]));
         }
     }
 
-    /// A question's number among those about all methods, by its place among those that are asked for a vote.
+    /// Converts the index of a question in the vote, over observed methods, to its index over all configured
+    /// methods.
     pub fn question(&self, asked: usize) -> usize {
         self.seen
             .places(self.count)
@@ -152,42 +171,48 @@
             .map_or(asked + self.count - self.seen.len(), |at| at - 1)
     }
 
-    /// Bytes that are laid out for evidence.
+    /// Bytes allocated for evidence.
     pub fn bytes(&self) -> usize {
         let strain = (self.strain.lately.capacity() + self.strain.off.capacity()) * size_of::<Tally>();
         let sums = self.past.bytes() + self.before.bytes() + self.arms.iter().map(Arm::bytes).sum::<usize>();
         self.books.iter().map(Book::bytes).sum::<usize>() + sums + strain + self.seen.bytes()
     }
 
-    /// How many nodes of the newest build, or of older ones, are ready.
+    /// Number of ready nodes of the newest build, or of all older builds.
     pub fn ready(&self, new: bool) -> usize {
         let arm = |b: &&Book| b.ready && (b.entry.build == self.newest) == new;
         self.count(self.books.iter().filter(arm)).round() as usize
     }
 
-    /// How many ready nodes run builds before this one.
+    /// Number of ready nodes that run builds before this one.
     pub fn older(&self, build: Build) -> f64 {
         self.count(self.books.iter().filter(|b| b.ready && b.entry.build < build))
     }
 
-    /// How many are ready and do not fail.
+    /// Number of nodes that are ready and healthy.
     pub fn sound(&self) -> f64 {
         self.count(self.books.iter().filter(|b| b.ready && !b.ill))
     }
 }
 
-/// The test by abstention: the older arm with the build's traffic and without it, by slot of methods seen.
+/// The abstention test compares the older arm's speed with traffic on the new build and without it. Vectors
+/// are indexed by the slot of an observed method.
 #[derive(Default)]
 pub struct Strain {
+    /// Quick answers of the older arm while the new build gets traffic.
     pub lately: Vec<Tally>,
+    /// Quick answers of the older arm while the new build gets none.
     pub off: Vec<Tally>,
+    /// Since when this marshal has sent nothing to the new build.
     pub since: Option<Duration>,
     /// A peer has begun to abstain.
     pub joined: bool,
-    /// The older arm recovered without the build, at this time.
+    /// When the older arm had recovered without the build, and traffic was restored.
     pub relieved: Option<Duration>,
+    /// The build and stage that the test has cleared.
     pub cleared: Option<(Build, usize)>,
+    /// The build and stage under test.
     pub stage: Option<(Build, usize)>,
-    /// How brisk the older arm was before the test.
+    /// The older arm's part of quick answers before the abstention.
     pub level: f64,
 }
--- a/crates/policy/src/state/membership.rs
+++ b/crates/policy/src/state/membership.rs
@@ -1,41 +1,44 @@
-//! What the parts that ask discovery and bound the life of its list keep.
+//! State of the calls to discovery and of the validity of the node list.
 
 use std::time::Duration;
 
 use crate::port::ListLeaseTerms;
 
-/// The subscription to the list of nodes, and when to ask for it.
+/// The subscription to the node list, and when to request it.
 #[derive(Default)]
 pub struct Membership {
-    /// Discovery's last word was an answer; false from a failure on.
+    /// The last result from discovery was an answer; false after a failure.
     pub subscribed: bool,
-    /// The first call is planned; one has been made.
+    /// The first call is scheduled.
     pub begun: bool,
+    /// A call has been made.
     pub called: bool,
-    /// The next call comes no sooner.
+    /// Earliest time of the next call.
     pub ask_at: Duration,
     /// Failures in a row.
     pub failures: u32,
-    /// By when the watch has to give a sign of life; none where signs are not told.
+    /// By when the watch has to give a sign of life; none where signs are not reported.
     pub sign_due: Option<Duration>,
 }
 
-/// How long the list may be sent by without another word of discovery.
+/// How long the node list may be used without another answer from discovery.
 #[derive(Default)]
 pub struct ListLease {
-    /// None: the list has no bounded life.
+    /// None: the list is valid forever.
     pub terms: Option<ListLeaseTerms>,
-    /// How long a node may still be sent to once it counts as told that it drains.
+    /// How long a node may still be sent to once it counts as announced to be draining.
     pub grace: Duration,
-    /// None before the first event.
+    /// End of the lease; none before the first event.
     pub until: Option<Duration>,
+    /// The outage that discovery has announced, if any.
     pub outage: Option<Outage>,
 }
 
-/// Discovery announced that it goes down, and nothing has shown since that it is back.
+/// Discovery has announced that it shuts down, and nothing has shown since that it is back.
 #[derive(Clone, Copy)]
 pub struct Outage {
+    /// When it was announced.
     pub since: Duration,
-    /// When the last call was made that failed as calls do while discovery is down.
+    /// When the last call was made that failed as calls do during an outage.
     pub seen: Duration,
 }
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the parts of the module keep and pass round: plain state, notes and inboxes, histograms, and the
-//! codec of the peers' counts. No decision and no tuned value is made here; they are all in `policy/`.
+//! State of the components and the messages between them: plain data, histograms, and the encoding of the
+//! counts that peers exchange. No decisions and no tuned values are here; they are all in `policy/`.
 
 mod chance;
 mod charter;
--- a/crates/policy/src/state/notes.rs
+++ b/crates/policy/src/state/notes.rs
@@ -1,4 +1,4 @@
-//! What the parts are handed, and the inboxes between them.
+//! The context that every component gets, and the messages between components.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -6,39 +6,57 @@
 use super::{Charter, ListLease};
 use crate::port::*;
 
+/// Inbox of RPC dispatch.
 pub const FRONT: usize = 0;
+/// Inbox of canary analysis.
 pub const JUDGE: usize = 1;
+/// Inbox of the discovery client.
 pub const MEMBERSHIP: usize = 2;
+/// Inbox of node 0; the other nodes' inboxes follow by node index.
 pub const NODES: usize = 3;
 
+/// A message between components.
 pub enum Note {
+    /// An event from the driver.
     Told(Event),
+    /// To a node: its entry in the node list.
     Listed(NodeEntry),
+    /// To a node: a pick was sent to it.
     Sent { rpc: RpcIx, pick: usize, method: usize },
+    /// From a node: its status has changed.
     Card(Card),
+    /// To canary analysis: the error of a first pick sent at `at` was the RPC's own.
     Excused { entry: NodeEntry, method: usize, at: Duration },
+    /// To canary analysis: a first pick sent at `at` has ended after `took` seconds.
     Booked { entry: NodeEntry, method: usize, at: Duration, outcome: Outcome, took: f64 },
+    /// To canary analysis: congestion in the last stage; the earlier build's nodes take traffic again.
     Relieved,
+    /// From canary analysis to dispatch: which arm comes first.
     Favour { newest: Build, new_first: bool, starved: bool },
+    /// To dispatch: try to send waiting RPCs.
     Pump,
+    /// The regular tick.
     Beat,
 }
 
-/// What every part is handed: the hour, the law, the inboxes and what goes out.
+/// What every component is given: the time, the config, the node list, the inboxes and the actions to return.
 pub struct Cx {
+    /// Time of the present call.
     pub now: Duration,
     pub law: Charter,
     /// Each node as last listed.
     pub listed: BTreeMap<NodeIx, NodeEntry>,
-    /// What part of the list that is.
+    /// Which part of all nodes that is.
     pub sight: Sight,
+    /// Inboxes by component, see [`FRONT`] to [`NODES`].
     pub boxes: Vec<VecDeque<Note>>,
-    /// The inboxes that are not empty.
+    /// Inboxes that are not empty.
     pub full: BTreeSet<usize>,
-    /// Nodes with picks out, or resting; the others get no beats.
+    /// Nodes with picks in flight, or ejected; only these get ticks.
     pub awake: BTreeSet<NodeIx>,
+    /// Actions to return to the driver.
     pub out: Vec<Action>,
-    /// How long the list may be sent by.
+    /// How long the node list may be used.
     pub lease: ListLease,
 }
 
@@ -57,7 +75,7 @@
             lease: ListLease::default(),
         }
     }
-    /// The next note: nodes first, the front last.
+    /// Removes the next message and names its inbox: nodes first, dispatch last.
     pub fn next(&mut self) -> Option<(usize, Note)> {
         let to = *self.full.last()?;
         let note = self.boxes[to].pop_front();
@@ -66,17 +84,18 @@
         }
         Some((to, note?))
     }
+    /// Appends a message to an inbox.
     pub fn put(&mut self, to: usize, note: Note) {
         self.boxes[to].push_back(note);
         self.full.insert(to);
     }
-    /// What a node shows of itself goes to the front ahead of all else.
+    /// Publishes a node's status, to dispatch ahead of all other messages.
     pub fn show(&mut self, card: Card) {
         self.boxes[FRONT].push_front(Note::Card(card));
         self.full.insert(FRONT);
         self.put(JUDGE, Note::Card(card));
     }
-    /// Nodes that wait for something get beats; idle ones cost nothing, however large the fleet.
+    /// Turns a node's ticks on or off. Idle nodes get none, so they cost nothing however large the fleet is.
     pub fn rouse(&mut self, node: NodeIx, awake: bool) {
         if awake {
             self.awake.insert(node);
@@ -84,11 +103,11 @@
             self.awake.remove(&node);
         }
     }
-    /// Puts an event into the inboxes that it concerns.
+    /// Queues an event for the components that it concerns.
     pub fn sort(&mut self, event: Event) {
         let to = match &event {
             Event::Nodes { scope, nodes } => {
-                // What a whole list leaves out is gone.
+                // Nodes missing from a complete list are gone.
                 let whole = matches!(scope, Scope::Full | Scope::Cached);
                 let named: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
                 let left = |e: &&NodeEntry| whole && !named.contains(&e.node);
@@ -123,39 +142,49 @@
         };
         self.put(to, Note::Told(event));
     }
+    /// Time since the node's process started; a node without a start time is old.
     pub fn age(&self, entry: &NodeEntry) -> Duration {
         entry.started.map_or(Duration::MAX, |at| self.now.saturating_sub(at))
     }
 }
 
-/// What a node shows of itself.
+/// A node's status, as it publishes it to the other components.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub struct Card {
     pub entry: NodeEntry,
+    /// Listed as ready.
     pub ready: bool,
+    /// Own picks in flight.
     pub in_flight: usize,
-    /// Expected time of one RPC here, in seconds, worse for a failing node.
+    /// Expected latency of an RPC in seconds, raised for a failing node.
     pub pace: f64,
-    /// Answers that the pace rests on.
+    /// Number of answers behind `pace`, up to a limit.
     pub met: f64,
+    /// Ejected for failures or silence.
     pub resting: bool,
+    /// On probation after an ejection.
     pub gentle: bool,
 }
 
+/// State of a rollout, as the controller reports it.
 #[derive(Clone, Copy)]
 pub struct News {
     pub build: Build,
     pub stage: usize,
+    /// Whether the build is on trial, released or rolled back.
     pub course: Course,
+    /// Exposure cap.
     pub cap: f64,
+    /// When the stage was launched.
     pub launched: Duration,
 }
 
 impl News {
-    /// The build is being sent back, or has been.
+    /// Whether the build is being rolled back, or has been.
     pub fn back(&self) -> bool {
         matches!(self.course, Course::GoingBack | Course::Withdrawn)
     }
+    /// Reads a stage event, with the reply to a vote that it carries.
     pub fn read(cx: &Cx, event: &Event) -> Option<(News, VoteReply)> {
         let &Event::Stage { build, stage, course, reply, cap, age } = event else { return None };
         Some((News { build, stage, course, cap, launched: cx.now.saturating_sub(age) }, reply))
--- a/crates/policy/src/state/reckon.rs
+++ b/crates/policy/src/state/reckon.rs
@@ -1,22 +1,23 @@
-//! What a module keeps, reckoned in bytes: by counts, without a look at the allocator.
+//! Memory estimate of a marshal, from the sizes and counts of what it stores, without asking the allocator.
 
 use std::mem::size_of;
 
 use super::*;
 
-/// An entry of a map or set beyond what it holds.
+/// Overhead in bytes of an entry of a map or set.
 const ENTRY: usize = 24;
-/// An inbox keeps room for a few notes once it had one.
+/// Messages for which an inbox that was used keeps capacity.
 const INBOX: usize = 4;
 
-/// Of one listed node, in use or not.
+/// Bytes per listed node, used or not.
 pub fn node_bytes() -> usize {
     let inbox = size_of::<std::collections::VecDeque<Note>>() + INBOX * size_of::<Note>();
     let listed = size_of::<NodeEntry>() + 2 * ENTRY;
-    // Its evidence is laid out with the first outcome, and counted then.
+    // Its evidence is allocated with the first outcome, and counted there.
     size_of::<Node>() + inbox + listed + size_of::<Book>() + size_of::<Card>() + 2 * size_of::<NodeIx>()
 }
 
+/// Bytes of all state of a marshal.
 pub fn reckon(nodes: &[Node], front: &Front, judge: &Judge) -> usize {
     let gate = &front.gate;
     let lists = || gate.taken.values().chain(gate.sent.values()).chain(gate.cold_sent.values());
@@ -33,13 +34,14 @@
 }
 
 impl Gate {
-    /// A key that met a build could go to an earlier one if it were forgotten. Not so once its build is released and no
-    /// earlier node is left: nothing is there that it could go back to.
+    /// Whether forgetting the recorded keys could break the one-way rule: a key that a build has answered
+    /// could then be sent to an earlier build. Once that build is released and no earlier node is left, it
+    /// cannot.
     pub fn keys_open(&self, cx: &Cx) -> bool {
         let Some(newest) = self.crossed.values().max().filter(|_| cx.law.exposure.one_way) else {
             return false;
         };
-        // What only earlier builds than the one on trial have answered was released before.
+        // Builds before the one on trial were released earlier.
         let released = self.news.is_some_and(|n| n.course == Course::Released || n.build > *newest);
         let listed = || cx.listed.values().filter(|e| e.readiness != Readiness::Gone);
         !released || listed().any(|e| e.build < *newest)
--- a/crates/policy/src/state/seen.rs
+++ b/crates/policy/src/state/seen.rs
@@ -1,17 +1,18 @@
-//! Which methods were seen, and records that have room for those only.
+//! The methods that have had traffic, and statistics with room for those only.
 
 use super::*;
 
-/// The methods that were seen, in their order, each with a slot. Slots are handed out at first sight and stay, so
-/// that records go on through new terms. What was never seen has none.
+/// The observed methods in ascending order, each with a slot. A slot is assigned at first sight and never
+/// changes, so that records survive a new config. Methods without traffic have none.
 #[derive(Default)]
 pub struct Seen(Vec<(usize, usize)>);
 
 impl Seen {
+    /// Number of observed methods.
     pub fn len(&self) -> usize {
         self.0.len()
     }
-    /// The slot of a method, which is seen from now on.
+    /// The slot of a method, which counts as observed from now on.
     pub fn slot(&mut self, method: usize) -> usize {
         let slot = self.0.len();
         match self.0.binary_search_by_key(&method, |s| s.0) {
@@ -22,12 +23,12 @@
             }
         }
     }
-    /// Methods and slots, in the methods' order.
+    /// Methods and slots, in the order of methods.
     pub fn iter(&self) -> impl Iterator<Item = (usize, usize)> + '_ {
         self.0.iter().copied()
     }
-    /// Two arms' ledgers, by kind and method in their order as all sums are made: with the method's place among
-    /// those seen, and the method.
+    /// Statistics of two arms, by kind, then by method, the order of all sums. Each item holds the method's
+    /// index among those observed, the method, and the entries of both arms.
     pub fn cells<'a>(
         &'a self, a: &'a Sums, b: &'a Sums,
     ) -> impl Iterator<Item = (usize, usize, &'a Ledger, &'a Ledger)> + 'a {
@@ -39,8 +40,8 @@
         };
         (0..kinds).flat_map(row)
     }
-    /// Where each question about methods seen stands among those about all that are known: payoff, soundness by
-    /// method, pace, spoilt answers, strain by method.
+    /// For each question over the observed methods, its index over all `known` methods: payoff, soundness by
+    /// method, pace, corrupt answers, slowdown by method.
     pub fn places(&self, known: usize) -> impl Iterator<Item = usize> + '_ {
         let by_method = |from: usize| self.iter().map(move |(method, _)| from + method);
         [0].into_iter().chain(by_method(1)).chain([known + 1, known + 2]).chain(by_method(known + 3))
@@ -50,19 +51,21 @@
     }
 }
 
-/// Ledgers by kind, and by slot of the methods seen.
+/// Statistics by node kind and by slot of the observed methods.
 #[derive(Clone, Default)]
 pub struct Sums {
     of: Vec<Vec<Ledger>>,
-    /// Counts its changes; nothing has been summed up at 0.
+    /// Incremented by each change; at 0 nothing has been added.
     version: u64,
 }
 
 impl Sums {
+    /// The entry of a kind and slot; an empty one where nothing was added.
     pub fn get(&self, kind: usize, slot: usize) -> &Ledger {
         const NONE: &Ledger = &Ledger::NONE;
         self.of.get(kind).and_then(|of| of.get(slot)).unwrap_or(NONE)
     }
+    /// Adds to the entry of a kind and slot.
     pub fn add(&mut self, kind: usize, slot: usize, ledger: &Ledger) {
         self.version += 1;
         if self.of.len() <= kind {
@@ -81,15 +84,16 @@
         self.version += 1;
         self.of.iter_mut().flatten()
     }
+    /// Removes all entries.
     pub fn clear(&mut self) {
         *self = Sums { of: Vec::new(), version: self.version + 1 };
     }
-    /// Forgets what was of kinds that are no longer named.
+    /// Removes the entries of kinds that are no longer configured.
     pub fn limit(&mut self, kinds: usize) {
         self.version += 1;
         self.of.truncate(kinds);
     }
-    /// One method's ledgers as another has them.
+    /// Copies one method's entries from another table.
     fn copy(&mut self, slot: usize, other: &Sums) {
         for (kind, of) in self.of.iter_mut().enumerate() {
             of.get_mut(slot).into_iter().for_each(|ledger| *ledger = *other.get(kind, slot));
@@ -100,17 +104,20 @@
     }
 }
 
-/// An arm's ledgers: a record from before, then its nodes' in their order. What has not changed since is not summed
-/// up again; what has, is from the start and in the same order, as rounding goes by it.
+/// Statistics of one arm: a base table plus its nodes' records, added in node order. After a change, only the
+/// methods concerned are summed anew, always from the start and in the same order, because rounding depends
+/// on the order.
 #[derive(Default)]
 pub struct Arm {
     pub sums: Sums,
+    /// The nodes included, in order.
     nodes: Vec<NodeIx>,
-    /// The version of the record from before; none before the first sum.
+    /// Version of the base table; none before the first sum.
     base: Option<u64>,
 }
 
 impl Arm {
+    /// Brings the sums up to date with the base table and the given nodes.
     pub fn sum(&mut self, base: Option<&Sums>, books: &[&Book]) {
         let nothing = Sums::default();
         let base = base.unwrap_or(&nothing);
