--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -5,23 +5,23 @@
 //! discovery client with the lease on the node list. They communicate only by messages in inboxes, which the
 //! loop in `marshal.rs` delivers: nodes first, dispatch last. Their state is defined in `state/`.
 
-mod choose;
-mod crowd;
-mod front;
-mod gate;
-mod judge;
-mod lease;
-mod membership;
+mod abstention_test;
+mod canary_analysis;
+mod congestion;
+mod discovery_client;
+mod dispatcher;
+mod list_lease;
 mod node;
-mod strain;
+mod node_selection;
+mod send_rules;
+mod statistics;
 mod vote;
-mod widths;
 
 use std::time::Duration;
 
 use crate::port::*;
 use crate::state::*;
-pub use {judge::HALVE, vote::MARGIN, widths::*};
+pub use {canary_analysis::HALVE, statistics::*, vote::MARGIN};
 
 /// Interval of ticks, which check waiting RPCs and silent nodes.
 pub const BEAT: Duration = ms(20);
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,28 +1,28 @@
 //! State of the components and the messages between them: plain data, histograms, and the encoding of the
 //! counts that peers exchange. No decisions and no tuned values are here; they are all in `policy/`.
 
-mod chance;
-mod charter;
-mod front;
-mod judge;
-mod membership;
-mod notes;
-mod reckon;
-mod seen;
-mod tally;
-mod told;
+mod canary_analysis;
+mod config;
+mod discovery_client;
+mod dispatcher;
+mod memory;
+mod messages;
+mod outcome_stats;
+mod peer_counts;
+mod stats_table;
+mod util;
 
 use std::time::Duration;
 
-pub use chance::*;
-pub use charter::*;
-pub use front::*;
-pub use judge::*;
-pub use membership::*;
-pub use notes::*;
-pub use reckon::*;
-pub use seen::*;
-pub use tally::*;
-pub use told::*;
+pub use canary_analysis::*;
+pub use config::*;
+pub use discovery_client::*;
+pub use dispatcher::*;
+pub use memory::*;
+pub use messages::*;
+pub use outcome_stats::*;
+pub use peer_counts::*;
+pub use stats_table::*;
+pub use util::*;
 
 use crate::port::*;
