--- a/crates/policy/src/marshal.rs
+++ b/crates/policy/src/marshal.rs
@@ -4,17 +4,17 @@
 
 use std::time::Duration;
 
-use crate::policy::{BEAT, FIRST_GUESS, LOOK, RETRIES, RING};
+use crate::policy::{EVALUATION_INTERVAL, INITIAL_LATENCY_PART, MAX_RING_SIZE, RETRY_BUDGET, TICK};
 use crate::port::*;
 use crate::state::*;
 
 /// One replica of the balancer: its components and the time of the next tick.
 pub struct Marshal {
-    cx: Cx,
+    cx: Context,
     nodes: Vec<Node>,
-    front: Front,
-    judge: Judge,
-    membership: Membership,
+    front: Dispatcher,
+    judge: CanaryAnalysis,
+    membership: DiscoveryClient,
     /// When the next tick is due.
     beat_at: Duration,
 }
@@ -22,13 +22,19 @@
 impl Marshal {
     /// Creates a marshal that knows no nodes and has no history.
     pub fn new(terms: &RolloutTerms) -> Self {
-        let law = Charter::new(terms);
-        let usual = law.duties.iter().map(|d| FIRST_GUESS * d.soft).collect();
-        let front = Front { usual, new_first: true, retries: RETRIES[2], room: f64::MAX, ..Front::default() };
-        let mut judge = Judge::default();
-        judge.lay_out(&law, rings(&law, RING));
-        let (nodes, membership, beat_at) = (Vec::new(), Membership::default(), Duration::ZERO);
-        let mut cx = Cx::new(law);
+        let law = Config::new(terms);
+        let usual = law.duties.iter().map(|d| INITIAL_LATENCY_PART * d.soft).collect();
+        let front = Dispatcher {
+            usual,
+            new_first: true,
+            retries: RETRY_BUDGET[2],
+            room: f64::MAX,
+            ..Dispatcher::default()
+        };
+        let mut judge = CanaryAnalysis::default();
+        judge.lay_out(&law, rings(&law, MAX_RING_SIZE));
+        let (nodes, membership, beat_at) = (Vec::new(), DiscoveryClient::default(), Duration::ZERO);
+        let mut cx = Context::new(law);
         cx.lease.renew(&terms.rules);
         Marshal { cx, nodes, front, judge, membership, beat_at }
     }
@@ -36,12 +42,12 @@
     /// Applies a new config between two calls of `handle`. Methods and kinds keep their indices, and new ones
     /// are appended. RPCs in progress, the send history behind the rules, node health and evidence are kept.
     pub fn renew(&mut self, terms: &RolloutTerms) {
-        self.cx.law = Charter::new(terms);
+        self.cx.law = Config::new(terms);
         self.cx.lease.renew(&terms.rules);
-        let soft = self.cx.law.duties.iter().map(|d| FIRST_GUESS * d.soft);
+        let soft = self.cx.law.duties.iter().map(|d| INITIAL_LATENCY_PART * d.soft);
         self.front.usual.extend(soft.skip(self.front.usual.len()));
         self.front.stale = true;
-        self.judge.lay_out(&self.cx.law, rings(&self.cx.law, RING));
+        self.judge.lay_out(&self.cx.law, rings(&self.cx.law, MAX_RING_SIZE));
     }
 
     /// Treats the exposure and slow-start budgets as fully spent at `now`, each until its window has passed:
@@ -82,12 +88,16 @@
         }
         let due = now >= self.beat_at;
         if due {
-            let awake = self.cx.awake.iter().map(|node| NODES + node).chain([FRONT, JUDGE, MEMBERSHIP]);
-            awake.collect::<Vec<_>>().into_iter().for_each(|to| self.cx.put(to, Note::Beat));
+            let awake = self.cx.awake.iter().map(|node| FIRST_NODE + node).chain([
+                DISPATCHER,
+                CANARY_ANALYSIS,
+                DISCOVERY_CLIENT,
+            ]);
+            awake.collect::<Vec<_>>().into_iter().for_each(|to| self.cx.put(to, Message::Tick));
             self.settle();
         }
         let idle = self.front.rpcs.is_empty() && self.cx.awake.is_empty();
-        let next = if idle { LOOK } else { BEAT };
+        let next = if idle { EVALUATION_INTERVAL } else { TICK };
         if due || self.beat_at > now + next {
             self.beat_at = now + next;
             self.cx.out.push(Action::Wake { after: next, tag: 0 });
@@ -97,13 +107,13 @@
 
     /// Delivers queued messages until all inboxes are empty.
     fn settle(&mut self) {
-        self.nodes.resize_with(self.cx.boxes.len() - NODES, Node::default);
+        self.nodes.resize_with(self.cx.boxes.len() - FIRST_NODE, Node::default);
         while let Some((to, note)) = self.cx.next() {
             match to {
-                FRONT => self.front.act(note, &mut self.cx),
-                JUDGE => self.judge.act(note, &mut self.cx),
-                MEMBERSHIP => self.membership.act(note, &mut self.cx),
-                _ => self.nodes[to - NODES].act(note, &mut self.cx),
+                DISPATCHER => self.front.act(note, &mut self.cx),
+                CANARY_ANALYSIS => self.judge.act(note, &mut self.cx),
+                DISCOVERY_CLIENT => self.membership.act(note, &mut self.cx),
+                _ => self.nodes[to - FIRST_NODE].act(note, &mut self.cx),
             }
         }
     }
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -12,10 +12,10 @@
 
 /// Safety margin at the end of every lease: a process may be suspended between its last look at the clock and
 /// the write.
-const MARGIN: Duration = ms(300);
+const LEASE_MARGIN: Duration = ms(300);
 
 /// Longest time for which an announced outage extends the lease.
-const LONGEST_OUTAGE: Duration = ms(30_000);
+const MAX_OUTAGE: Duration = ms(30_000);
 
 impl ListLease {
     /// Applies a new config.
@@ -30,7 +30,7 @@
 
     /// Whether the list may be used for new work now.
     pub fn holds(&self, now: Duration) -> bool {
-        let trusted = self.outage.is_some_and(|outage| now < outage.since + LONGEST_OUTAGE);
+        let trusted = self.outage.is_some_and(|outage| now < outage.since + MAX_OUTAGE);
         self.terms.is_none() || trusted || self.until.is_some_and(|until| now < until)
     }
 
@@ -78,6 +78,6 @@
 
     /// End of a lease on a list known at `from`, when changes count as delivered after `told`.
     fn end(&self, from: Duration, told: Duration) -> Duration {
-        (from + told + self.grace).saturating_sub(MARGIN)
+        (from + told + self.grace).saturating_sub(LEASE_MARGIN)
     }
 }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -24,27 +24,27 @@
 pub use {canary_analysis::HALVE, statistics::*, vote::MARGIN};
 
 /// Interval of ticks, which check waiting RPCs and silent nodes.
-pub const BEAT: Duration = ms(20);
+pub const TICK: Duration = ms(20);
 /// Interval of evaluations of the evidence, and of ticks while idle.
-pub const LOOK: Duration = ms(100);
+pub const EVALUATION_INTERVAL: Duration = ms(100);
 /// The most marshals that exchange counts directly. Also the number of marshals that log their votes: more
 /// logs would repeat the same.
-pub const RING: usize = 8;
+pub const MAX_RING_SIZE: usize = 8;
 /// Retry budget for picks that may have been executed: the gain per received RPC, the seconds of gain that it
 /// holds, and the bounds of its size.
-pub const RETRIES: [f64; 4] = [0.2, 4.0, 2.0, 20.0];
+pub const RETRY_BUDGET: [f64; 4] = [0.2, 4.0, 2.0, 20.0];
 /// Assumed latency before the first answer, as a part of the soft deadline.
-pub const FIRST_GUESS: f64 = 1.0 / 6.0;
+pub const INITIAL_LATENCY_PART: f64 = 1.0 / 6.0;
 /// A pick that times out before this part of the soft deadline was cut short by its client.
-const HASTY: f64 = 0.5;
+const CUT_SHORT_PART: f64 = 0.5;
 /// The weight, in answers, of the mean of kind and zone in a node's expected latency, and the limit of the
 /// node's own weight.
-const MET: [f64; 2] = [6.0, 12.0];
+const LATENCY_WEIGHTS: [f64; 2] = [6.0, 12.0];
 /// Subset size: each node used gets this many picks while an idle connection is kept; the least number of
 /// nodes; seconds over which the rate of RPCs is averaged.
-const KEPT: [f64; 3] = [20.0, 6.0, 10.0];
+const SUBSET_SIZING: [f64; 3] = [20.0, 6.0, 10.0];
 /// Interval at which payoff is halved in addition: the older arm's must not come from a calmer time than the
 /// new build's.
-const RENEW: Duration = ms(2000);
+const PAYOFF_HALVING_INTERVAL: Duration = ms(2000);
 /// The part of the older arm's answers that count as quick without a slowdown.
-const CALM: f64 = 0.75;
+const QUICK_PART: f64 = 0.75;
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -4,28 +4,31 @@
 
 impl Node {
     /// Handles one message, and publishes the node's status if it has changed.
-    pub fn act(&mut self, note: Note, cx: &mut Cx) {
+    pub fn act(&mut self, note: Message, cx: &mut Context) {
         let shown = self.card;
         match note {
-            Note::Listed(entry) => {
+            Message::NodeListed(entry) => {
                 if (entry.started, entry.build) != (self.card.entry.started, self.card.entry.build) {
                     // A new process: the earlier one's history does not apply.
                     let out = std::mem::take(&mut self.out);
-                    *self = Node { out, took: FIRST_GUESS * cx.law.least_soft, ..Node::default() };
+                    *self = Node { out, took: INITIAL_LATENCY_PART * cx.law.least_soft, ..Node::default() };
                 }
                 (self.card.ready, self.card.entry) = (entry.readiness == Readiness::Ready, entry);
             }
-            Note::Sent { rpc, pick, method } => self.out.push((rpc, pick, method, cx.now, self.card.entry)),
-            Note::Told(Event::PickEnded { rpc, pick, outcome, took, .. }) => {
+            Message::PickSent { rpc, pick, method } => {
+                self.out.push((rpc, pick, method, cx.now, self.card.entry))
+            }
+            Message::Event(Event::PickEnded { rpc, pick, outcome, took, .. }) => {
                 if let Some(i) = self.out.iter().position(|o| (o.0, o.1) == (rpc, pick)) {
                     let ((.., method, at, entry), took) = (self.out.swap_remove(i), took.as_secs_f64());
                     // A client that gives up early proves nothing about node or build.
-                    let early = outcome == Outcome::Timeout && took < HASTY * cx.law.duties[method].soft;
+                    let early =
+                        outcome == Outcome::Timeout && took < CUT_SHORT_PART * cx.law.duties[method].soft;
                     let outcome = if early { Outcome::Cancelled } else { outcome };
                     self.learn(cx.now, outcome, took);
                     // Repeats are RPCs that failed elsewhere, so they are a biased sample of a build.
                     if pick == 0 {
-                        cx.put(JUDGE, Note::Booked { entry, method, at, outcome, took });
+                        cx.put(CANARY_ANALYSIS, Message::PickEnded { entry, method, at, outcome, took });
                     }
                 }
             }
@@ -68,7 +71,7 @@
         }
         if outcome == Outcome::Ok {
             self.took += 0.15 * (took - self.took);
-            self.card.met = (self.card.met + 1.0).min(MET[1]);
+            self.card.met = (self.card.met + 1.0).min(LATENCY_WEIGHTS[1]);
         }
     }
 }
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -6,21 +6,23 @@
 /// debt that an arm can have.
 const SHARE_LIMIT: [f64; 2] = [1.1, 3.0];
 /// A key's preferred node is used unless the cost of another is below this part of its cost.
-const AT_HOME: f64 = 0.75;
+const AFFINITY_COST_PART: f64 = 0.75;
 
-impl Front {
+impl Dispatcher {
     /// Expected latency of a pick at a node in seconds, at its present capacity. While few of its answers are
     /// known, the mean of its kind and zone dominates (slow machines, lossy links).
-    fn pace(&self, c: &Card, cx: &Cx) -> f64 {
+    fn pace(&self, c: &NodeStatus, cx: &Context) -> f64 {
         let usual = self.groups.get(&(c.entry.kind, c.entry.zone));
-        let usual = usual.copied().unwrap_or(FIRST_GUESS * cx.law.least_soft);
-        (MET[0] * usual + c.met * c.pace) / (MET[0] + c.met) / cx.law.present(cx.age(&c.entry))
+        let usual = usual.copied().unwrap_or(INITIAL_LATENCY_PART * cx.law.least_soft);
+        (LATENCY_WEIGHTS[0] * usual + c.met * c.pace)
+            / (LATENCY_WEIGHTS[0] + c.met)
+            / cx.law.present(cx.age(&c.entry))
     }
 
     /// Chooses an arm and a node: the arm of the larger UCB index within its limits, then the other; at first
     /// without ejected nodes and with care for those on probation. Returns the arm to charge, the credit that
     /// both arms gain, and the node.
-    fn choose(&self, r: &Rpc, cx: &Cx) -> Option<(usize, [f64; 2], NodeEntry)> {
+    fn choose(&self, r: &Rpc, cx: &Context) -> Option<(usize, [f64; 2], NodeEntry)> {
         let all = self.arms[0].len() + self.arms[1].len();
         // In the last stage, beside the earlier machines, each new node gets the load that it will have after
         // the release. During congestion this is off, as idle nodes would stand beside RPCs pushed back.
@@ -30,7 +32,8 @@
         let whole = if rehearsal { new.max(old) } else { new + old };
         // A build that gets no traffic accrues no credit: many marshals would spend it all at once.
         let share = if self.starved { 0.0 } else { new / whole.max(1e-9) };
-        let reach = (self.pulse[0] / self.pulse[1].max(1.0) * cx.law.kept / KEPT[0]).max(KEPT[1]);
+        let reach =
+            (self.pulse[0] / self.pulse[1].max(1.0) * cx.law.kept / SUBSET_SIZING[0]).max(SUBSET_SIZING[1]);
         let most_rest = 5 * self.resting >= 4 * all;
         let due = [SHARE_LIMIT[0] * (1.0 - share), SHARE_LIMIT[0] * share];
         let within = [self.due[0] + due[0] >= 1.0, self.due[1] + due[1] >= 1.0 && !self.starved];
@@ -47,7 +50,7 @@
         let mut charged = None;
         for (wary, apart) in [(true, true), (true, false), (false, false)] {
             for arm in arms {
-                let fits = |c: &&Card| {
+                let fits = |c: &&NodeStatus| {
                     let unsure = c.in_flight > 0 || cx.law.duties[r.method].repeat == Repeat::NonIdempotent;
                     let failed = || r.picks.iter().any(|p| p.entry.node == c.entry.node);
                     let doubt = c.resting || (c.gentle && unsure) || failed();
@@ -65,14 +68,14 @@
                     let tries = (nth..nth + 4).map(die).filter(|_| near > 0).chain(walk);
                     tries.map(|i| &self.cards[list[i]]).find(fits)
                 };
-                let cost = |c: &Card| (c.in_flight + 1) as f64 * self.pace(c, cx);
+                let cost = |c: &NodeStatus| (c.in_flight + 1) as f64 * self.pace(c, cx);
                 // Key affinity: where nodes work less for a key handled recently, all marshals agree on its
                 // node by rendezvous hashing. It is one of the two choices, and is taken unless clearly
                 // busier. Harms where one key has most of the traffic.
                 let home = |key: u64| list.iter().max_by_key(|n| chance(key, self.cards[**n].entry.name));
                 let home = r.key.filter(|_| cx.law.warm_keys).and_then(home).map(|&n| &self.cards[n]);
                 let (a, b, part) = match home.filter(fits) {
-                    Some(home) => (Some(home), draw(0), AT_HOME),
+                    Some(home) => (Some(home), draw(0), AFFINITY_COST_PART),
                     None => (draw(0), draw(4), 1.0),
                 };
                 if let (Some(a), Some(b)) = (a, b) {
@@ -87,7 +90,7 @@
     }
 
     /// Sends the next pick of an RPC if the concurrency limit and the rules allow one now.
-    pub fn send(&mut self, rpc: RpcIx, cx: &mut Cx) -> bool {
+    pub fn send(&mut self, rpc: RpcIx, cx: &mut Context) -> bool {
         if self.stale {
             self.muster(cx);
         }
@@ -114,7 +117,7 @@
         r.picks.push(Pick { entry, at: cx.now, out: true, never_ran: false, erred: false });
         let (node, pick, method) = (entry.node, r.picks.len() - 1, r.method);
         cx.out.push(Action::Pick { rpc, node, within });
-        cx.put(NODES + node, Note::Sent { rpc, pick, method });
+        cx.put(FIRST_NODE + node, Message::PickSent { rpc, pick, method });
         true
     }
 }
--- a/crates/policy/src/policy/send_rules.rs
+++ b/crates/policy/src/policy/send_rules.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl Gate {
+impl SendRules {
     /// Stage and cap if the build is on trial as far as this marshal knows; an unannounced build counts as in
     /// stage 0.
-    fn trial(&self, cx: &Cx, build: Build) -> Option<(usize, f64)> {
+    fn trial(&self, cx: &Context, build: Build) -> Option<(usize, f64)> {
         let news = self.news?;
         if build > news.build {
             return Some((0, cx.law.exposure.first_cap));
@@ -15,7 +15,7 @@
 
     /// Checks all rules for a pick: rule 1 (time left), rule 2 (repeats), rule 3 (drains, announced or deemed
     /// so), rule 5 (exposure), rule 4 (slow start of cold nodes).
-    pub fn admits(&self, cx: &Cx, rpc: &Rpc, card: &Card) -> bool {
+    pub fn admits(&self, cx: &Context, rpc: &Rpc, card: &NodeStatus) -> bool {
         (card.ready && cx.now < rpc.until && cx.lease.holds(cx.now))
             && self.may_repeat(cx, rpc, &card.entry)
             && self.exposable(cx, rpc, &card.entry)
@@ -23,7 +23,7 @@
     }
 
     /// Rule 2: whether the RPC may be sent to this node after its earlier picks.
-    pub fn may_repeat(&self, cx: &Cx, rpc: &Rpc, entry: &NodeEntry) -> bool {
+    pub fn may_repeat(&self, cx: &Context, rpc: &Rpc, entry: &NodeEntry) -> bool {
         let barred = rpc.streaming || rpc.picks.len() >= cx.law.most_picks;
         if barred || (!cx.law.copies && rpc.picks.iter().any(|p| p.out)) {
             return false;
@@ -41,14 +41,14 @@
     }
 
     /// Whether a client may safely retry the RPC: it may be executed again, or was never executed.
-    pub fn may_push_back(cx: &Cx, rpc: &Rpc) -> bool {
+    pub fn may_push_back(cx: &Context, rpc: &Rpc) -> bool {
         let repeat = cx.law.duties[rpc.method].repeat;
         let harmless = matches!(repeat, Repeat::Idempotent | Repeat::Tokened { group: Group::All, .. });
         harmless || rpc.picks.iter().all(|p| p.never_ran)
     }
 
     /// Rule 5: whether the exposure budget and the one-way rule allow the node's build.
-    fn exposable(&self, cx: &Cx, rpc: &Rpc, entry: &NodeEntry) -> bool {
+    fn exposable(&self, cx: &Context, rpc: &Rpc, entry: &NodeEntry) -> bool {
         let (duty, rule) = (&cx.law.duties[rpc.method], &cx.law.exposure);
         let crossed = rpc.key.and_then(|key| self.crossed.get(&key));
         if !self.news.is_some_and(|n| n.back()) && crossed.is_some_and(|&build| entry.build < build) {
@@ -58,7 +58,7 @@
         if cap <= 0.0 || (stage < rule.guarded && duty.repeat != Repeat::Idempotent) {
             return false;
         }
-        let spans = [rule.window + BEAT, rule.window.saturating_sub(BEAT)];
+        let spans = [rule.window + TICK, rule.window.saturating_sub(TICK)];
         let [used, taken] = self.counted(cx, entry.build, duty.slot, spans);
         used + 1.0 <= self.free(cx) + cap * taken
     }
@@ -66,7 +66,7 @@
     /// Rule 4: whether a cold node has slow-start budget left. Peers are assumed to send in proportion to
     /// their ok answers, which is less than the fleet can do. Fractional budgets are rounded randomly in each
     /// window, as the budgets of hundreds of marshals add up.
-    fn warm_enough(&self, cx: &Cx, entry: &NodeEntry) -> bool {
+    fn warm_enough(&self, cx: &Context, entry: &NodeEntry) -> bool {
         let (age, law) = (cx.age(entry), &cx.law);
         if law.warm(age) {
             return true;
--- a/crates/policy/src/policy/statistics.rs
+++ b/crates/policy/src/policy/statistics.rs
@@ -9,7 +9,7 @@
 /// Least number of outcomes for a comparison.
 pub const LEAST_SAMPLE: f64 = 10.0;
 /// Below this age a node counts for neither arm's payoff.
-pub const YOUNG: Duration = ms(5000);
+pub const YOUNG_AGE: Duration = ms(5000);
 
 /// Half-width ε of the confidence interval, by the design, for `n` outcomes of variance `var` at error
 /// probability `delta`.
@@ -25,7 +25,7 @@
 
 /// Whether a pick sent at `at` does not count for payoff, as the node had just started.
 pub fn young(entry: &NodeEntry, at: Duration) -> bool {
-    entry.started.is_some_and(|start| at < start + YOUNG)
+    entry.started.is_some_and(|start| at < start + YOUNG_AGE)
 }
 
 /// Whether arm `a` lies below `b` by more than the margin and the given part of both half-widths. σ²
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -3,27 +3,27 @@
 use super::*;
 
 /// Wait before a vote to promote, from when the stage's machines run.
-const ON_WAIT: Duration = ms(2500);
+const PROMOTE_WAIT: Duration = ms(2500);
 /// A stage's machines count as running this long after its launch at the latest.
-const STAGE_LATEST: Duration = ms(9000);
+const STAGE_RUNNING_WITHIN: Duration = ms(9000);
 /// Outcomes that the rollout controller, where it counts them, must have counted before a vote to promote,
 /// since the list named the last of the build's machines; and the longest wait for that.
-const TOLD: f64 = 30.0;
-const MOST_WAIT: Duration = ms(10_000);
+const MIN_COUNTED_OUTCOMES: f64 = 30.0;
+const MAX_PROMOTE_WAIT: Duration = ms(10_000);
 /// How much worse the new arm must be: in payoff (by the design), in soundness, in pace (plus a term for few
 /// machines).
 pub const MARGIN: [f64; 4] = [0.05, 0.01, 0.16, 0.25];
 /// How long evidence must be against a build, so that trouble in the fleet shows first: when unsound; when
 /// failing by the controller's counts of both arms; when late or slow on trial; when late or slow without an
 /// older arm.
-const PONDER: [Duration; 4] = [ms(800), ms(1500), ms(3000), ms(15_000)];
+const EVIDENCE_DURATIONS: [Duration; 4] = [ms(800), ms(1500), ms(3000), ms(15_000)];
 /// The part of the fleet that must be healthy for the abstention test to be conclusive.
-const WHOLE: f64 = 0.85;
+const MIN_HEALTHY_PART: f64 = 0.85;
 
-impl Judge {
+impl CanaryAnalysis {
     /// Decides on a verdict from the pairs of all questions, and votes if that is due.
-    pub fn vote(&mut self, mut pairs: Vec<Pair>, nodes: usize, cx: &mut Cx) {
-        let live = |n: &News| matches!(n.course, Course::Released | Course::OnTrial);
+    pub fn vote(&mut self, mut pairs: Vec<ArmPair>, nodes: usize, cx: &mut Context) {
+        let live = |n: &RolloutStatus| matches!(n.course, Course::Released | Course::OnTrial);
         let Some(news) = self.news.filter(|n| n.build == self.newest && live(n)) else { return };
         let released = news.course == Course::Released;
         // The abstention test ends with the trial. Otherwise nothing would be sent to a released build, and
@@ -31,19 +31,19 @@
         self.strain.since = self.strain.since.filter(|_| !released);
         // Questions, each with margin and variance: soundness by method, soundness overall, corrupt answers,
         // the controller's counts, payoff, pace.
-        let (mut sound, payoff) = (Pair::default(), pairs.remove(0));
-        let strain = Strain::pool(pairs.split_off(self.seen.len() + 2));
+        let (mut sound, payoff) = (ArmPair::default(), pairs.remove(0));
+        let strain = AbstentionTest::pool(pairs.split_off(self.seen.len() + 2));
         let (whole, pace) = (pairs.pop().unwrap_or_default(), pairs.pop().unwrap_or_default());
         pairs.iter().for_each(|p| join(&mut sound, p));
-        let var = |p: &Pair| p[1].mean() * (1.0 - p[1].mean());
+        let var = |p: &ArmPair| p[1].mean() * (1.0 - p[1].mean());
         // Any node may return corrupt answers, and the older arm's few are excluded with its worst nodes: σ²
         // is that of both arms if they are alike. Costs power against a build that corrupts few answers.
-        let pooled = |p: &Pair| {
+        let pooled = |p: &ArmPair| {
             let mean = (p[0].good + p[1].good) / (p[0].n + p[1].n).max(1e-9);
             mean * (1.0 - mean)
         };
         let slower = MARGIN[2] + MARGIN[3] / (nodes.max(1) as f64).sqrt();
-        let asked: Vec<(Pair, f64, f64)> = (pairs.iter().chain([&sound]))
+        let asked: Vec<(ArmPair, f64, f64)> = (pairs.iter().chain([&sound]))
             .map(|p| (*p, MARGIN[1], var(p)))
             .chain([(whole, MARGIN[1], pooled(&whole))])
             .chain([(self.sums, MARGIN[0], pooled(&self.sums))])
@@ -57,8 +57,8 @@
         // Before all of the stage's machines run, the test would clear the build at an earlier stage's
         // traffic.
         let runs = cx.now >= self.begun(news, cx);
-        let apart = runs && !self.alone() && sound_nodes >= WHOLE * self.places;
-        let lost = ((self.ready(false) + self.ready(true)) as f64) < WHOLE * self.places;
+        let apart = runs && !self.alone() && sound_nodes >= MIN_HEALTHY_PART * self.places;
+        let lost = ((self.ready(false) + self.ready(true)) as f64) < MIN_HEALTHY_PART * self.places;
         let trial = Some((news.build, news.stage)).filter(|_| !released);
         let (held, shared) =
             trial.map_or((false, false), |t| self.strain.weigh(cx.now, t, nodes, [apart, lost], strain));
@@ -66,19 +66,21 @@
         // Lateness passes with a backlog, which lasts while nodes come and go.
         let late = usize::from(found >= Some(asked.len() - 3));
         let alone = late * usize::from(self.alone());
-        let calm = (self.stirred * alone as u32).max((self.relieved + RENEW) * late as u32);
+        let calm = (self.stirred * alone as u32).max((self.relieved + PAYOFF_HALVING_INTERVAL) * late as u32);
         let counted = usize::from(found == Some(asked.len() - 3));
-        let ponder = PONDER[if alone > 0 { 3 } else { 2 * late - counted }];
+        let ponder = EVIDENCE_DURATIONS[if alone > 0 { 3 } else { 2 * late - counted }];
         self.guilty = found.and(self.guilty.or(Some(cx.now)));
         let guilty = self.guilty.is_some_and(|since| cx.now >= since.max(calm) + ponder);
         let better = below(payoff[1], payoff[0], 0.0, 1.0, 0.25, DELTA);
         // The controller's counts over all marshals are a sample too: one of 300 marshals never has enough by
         // itself.
-        let wait = if sound[0].n.max(self.sums[0].n) < LEAST_SAMPLE { 2 * ON_WAIT } else { ON_WAIT };
+        let wait =
+            if sound[0].n.max(self.sums[0].n) < LEAST_SAMPLE { 2 * PROMOTE_WAIT } else { PROMOTE_WAIT };
         // The controller counts from the machines' start, and the list may name them later: with a wait
         // alone, all marshals would vote to promote without evidence.
         let since = self.begun(news, cx).max(self.relieved);
-        let told = self.tried >= TOLD || self.sums[1].n == 0.0 || cx.now >= since + MOST_WAIT;
+        let told =
+            self.tried >= MIN_COUNTED_OUTCOMES || self.sums[1].n == 0.0 || cx.now >= since + MAX_PROMOTE_WAIT;
         let ripe = better || (told && cx.now >= since + wait);
         let verdict = match found.or(worse(0.4)) {
             Some(_) if guilty => Verdict::Back,
@@ -110,7 +112,7 @@
         if idle || self.cast.is_some_and(|(_, at, _)| cx.now < at + pause) {
             return;
         }
-        let teller = cx.law.marshal < RING || verdict == Verdict::Back;
+        let teller = cx.law.marshal < MAX_RING_SIZE || verdict == Verdict::Back;
         if self.cast.is_none_or(|(cast, ..)| cast != wish) && teller {
             let told = |q: usize| beside(self.question(q), &asked.get(q).map_or(payoff, |a| a.0));
             let why = found.or(worse(0.4)).map_or(String::new(), told);
@@ -122,7 +124,7 @@
 
     /// When the stage's machines had all started as far as the list shows, or the latest time by which they
     /// must have.
-    fn begun(&self, news: News, cx: &Cx) -> Duration {
+    fn begun(&self, news: RolloutStatus, cx: &Context) -> Duration {
         let trial = self.books.iter().filter(|b| b.ready && b.entry.build == news.build);
         // Nodes from before the last release may drain only after the trial has begun.
         let successors = if cx.law.rehearse.is_none() { self.ready(true) } else { 0 };
@@ -130,7 +132,7 @@
         let share = cx.law.shares.get(news.stage).copied().unwrap_or(0.0);
         let due = (share * self.places.min(stay)).round().max(1.0);
         let last = trial.filter_map(|b| b.entry.started).max().filter(|_| self.ready(true) as f64 >= due);
-        let late = news.launched + STAGE_LATEST;
+        let late = news.launched + STAGE_RUNNING_WITHIN;
         last.map_or(late, |at| at.clamp(news.launched, late))
     }
 }
--- a/crates/policy/src/state/canary_analysis.rs
+++ b/crates/policy/src/state/canary_analysis.rs
@@ -6,28 +6,28 @@
 
 /// Evidence on the older arm and the newest build, and the vote that follows from it.
 #[derive(Default)]
-pub struct Judge {
+pub struct CanaryAnalysis {
     /// By node index.
-    pub books: Vec<Book>,
+    pub books: Vec<NodeRecord>,
     /// Which part of all nodes these are.
     pub sight: Sight,
     /// Outcomes of older builds on nodes that are gone, by kind and method.
-    pub past: Sums,
+    pub past: StatsTable,
     /// Outcomes of the earlier build before the present trial.
-    pub before: Sums,
+    pub before: StatsTable,
     /// The older arm and the newest build, as last summed up.
-    pub arms: [Arm; 2],
+    pub arms: [ArmStats; 2],
     /// The methods that have had traffic.
-    pub seen: Seen,
+    pub seen: ObservedMethods,
     /// The newest build listed or announced.
     pub newest: Build,
     /// Ready nodes of older builds when the trial began: the size of the fleet.
     pub places: f64,
     /// The rollout as the controller last reported it.
-    pub news: Option<News>,
+    pub news: Option<RolloutStatus>,
     /// Latest counts of peers, by level and place in the ring: time of arrival, build, and a pair per
     /// question.
-    pub heard: BTreeMap<(u32, usize), (Duration, Build, Vec<Pair>)>,
+    pub heard: BTreeMap<(u32, usize), (Duration, Build, Vec<ArmPair>)>,
     /// Number of marshals in a ring.
     pub ring: usize,
     /// Number of levels of rings.
@@ -35,10 +35,10 @@
     /// Number of configured methods.
     pub count: usize,
     /// Outcomes that the rollout controller has counted over all marshals.
-    pub sums: Pair,
+    pub sums: ArmPair,
     /// The last vote (verdict, stage, build), when it was sent, and the reply.
     pub cast: Option<((Verdict, usize, Build), Duration, VoteReply)>,
-    pub strain: Strain,
+    pub strain: AbstentionTest,
     /// Since when the evidence has been against the build.
     pub guilty: Option<Duration>,
     /// When the earlier build's nodes last began to take traffic in the last stage.
@@ -61,18 +61,18 @@
     pub looked: Duration,
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// Adopts the present methods, kinds and rings; known methods keep their records.
-    pub fn lay_out(&mut self, law: &Charter, (ring, levels): (usize, u32)) {
+    pub fn lay_out(&mut self, law: &Config, (ring, levels): (usize, u32)) {
         [&mut self.past, &mut self.before].into_iter().for_each(|sums| sums.limit(law.kinds));
         (self.count, self.ring, self.levels) = (law.duties.len(), ring, levels);
         self.heard.clear(); // Peers may have other methods, or other places in the rings.
     }
 
     /// Takes over a node's status. The record of a process that has ended is cleared.
-    pub fn listed(&mut self, card: &Card, cx: &Cx) {
+    pub fn listed(&mut self, card: &NodeStatus, cx: &Context) {
         if self.books.len() <= card.entry.node {
-            self.books.resize_with(card.entry.node + 1, Book::default);
+            self.books.resize_with(card.entry.node + 1, NodeRecord::default);
         }
         self.sight = cx.sight;
         let book = &mut self.books[card.entry.node];
@@ -100,7 +100,7 @@
 
     /// The sender's place in this marshal's ring of a level. Only a sender a whole number of spans before
     /// this marshal reports sums that no other member of the ring covers; all others give none.
-    pub fn place(&self, from: usize, level: u32, law: &Charter) -> Option<usize> {
+    pub fn place(&self, from: usize, level: u32, law: &Config) -> Option<usize> {
         let back = (law.marshal + law.crowd).checked_sub(from)? % law.crowd;
         let span = self.ring.pow(level.min(self.levels));
         let place = back / span;
@@ -109,22 +109,22 @@
 
     /// Halves all records, except that of gone nodes while the older arm has no nodes.
     pub fn halve(&mut self) {
-        self.books.iter_mut().flat_map(Book::ledgers).for_each(Ledger::halve);
+        self.books.iter_mut().flat_map(NodeRecord::ledgers).for_each(OutcomeStats::halve);
         if self.ready(false) > 0 {
-            self.past.iter_mut().for_each(Ledger::halve);
+            self.past.iter_mut().for_each(OutcomeStats::halve);
         }
         self.sums.iter_mut().for_each(|t| t.add(*t, -0.5));
     }
 
     /// Extrapolates the number of listed nodes from these: each stands for those of its arm that this marshal
     /// is not told of.
-    fn count<'a>(&self, books: impl Iterator<Item = &'a Book>) -> f64 {
+    fn count<'a>(&self, books: impl Iterator<Item = &'a NodeRecord>) -> f64 {
         books.map(|b| 1.0 / self.sight.seen(b.entry.build)).sum()
     }
 
     /// Stores counts received from a peer. Methods in them count as observed from now on.
-    pub fn hear(&mut self, place: (u32, usize), said: (Duration, Build, Vec<Pair>)) {
-        let met = |p: &Pair| p.iter().any(|t| t.n > 0.0);
+    pub fn hear(&mut self, place: (u32, usize), said: (Duration, Build, Vec<ArmPair>)) {
+        let met = |p: &ArmPair| p.iter().any(|t| t.n > 0.0);
         if said.2.len() == self.questions() {
             let by_method =
                 |from: usize| (0..self.count).filter(|m| met(&said.2[from + m])).collect::<Vec<_>>();
@@ -143,19 +143,19 @@
 
     /// Whether to send counts to peers: they can be reached, the counts fit into a message, and an earlier
     /// build has been measured.
-    pub fn tells(&self, law: &Charter) -> bool {
-        law.peers && self.questions() <= MOST_QUESTIONS && self.before.iter().any(|l| l.paid.n > 0.0)
+    pub fn tells(&self, law: &Config) -> bool {
+        law.peers && self.questions() <= MAX_QUESTIONS && self.before.iter().any(|l| l.paid.n > 0.0)
     }
 
     /// Expands pairs for the observed methods to pairs for all configured methods.
-    pub fn whole(&self, pairs: &[Pair]) -> Vec<Pair> {
-        let mut all = vec![Pair::default(); self.questions()];
+    pub fn whole(&self, pairs: &[ArmPair]) -> Vec<ArmPair> {
+        let mut all = vec![ArmPair::default(); self.questions()];
         self.seen.places(self.count).zip(pairs).for_each(|(at, pair)| all[at] = *pair);
         all
     }
 
     /// Adds a peer's counts, provided that the peer has the same number of questions.
-    pub fn join(&self, pairs: &mut [Pair], theirs: &[Pair]) {
+    pub fn join(&self, pairs: &mut [ArmPair], theirs: &[ArmPair]) {
         if theirs.len() == self.questions() {
             pairs.iter_mut().zip(self.seen.places(self.count)).for_each(|(a, at)| join(a, &theirs[at]));
         }
@@ -174,13 +174,14 @@
     /// Bytes allocated for evidence.
     pub fn bytes(&self) -> usize {
         let strain = (self.strain.lately.capacity() + self.strain.off.capacity()) * size_of::<Tally>();
-        let sums = self.past.bytes() + self.before.bytes() + self.arms.iter().map(Arm::bytes).sum::<usize>();
-        self.books.iter().map(Book::bytes).sum::<usize>() + sums + strain + self.seen.bytes()
+        let sums =
+            self.past.bytes() + self.before.bytes() + self.arms.iter().map(ArmStats::bytes).sum::<usize>();
+        self.books.iter().map(NodeRecord::bytes).sum::<usize>() + sums + strain + self.seen.bytes()
     }
 
     /// Number of ready nodes of the newest build, or of all older builds.
     pub fn ready(&self, new: bool) -> usize {
-        let arm = |b: &&Book| b.ready && (b.entry.build == self.newest) == new;
+        let arm = |b: &&NodeRecord| b.ready && (b.entry.build == self.newest) == new;
         self.count(self.books.iter().filter(arm)).round() as usize
     }
 
@@ -198,7 +199,7 @@
 /// The abstention test compares the older arm's speed with traffic on the new build and without it. Vectors
 /// are indexed by the slot of an observed method.
 #[derive(Default)]
-pub struct Strain {
+pub struct AbstentionTest {
     /// Quick answers of the older arm while the new build gets traffic.
     pub lately: Vec<Tally>,
     /// Quick answers of the older arm while the new build gets none.
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -5,12 +5,12 @@
 use crate::port::*;
 
 /// The config as the decisions use it, derived from [`RolloutTerms`].
-pub struct Charter {
+pub struct Config {
     /// By method.
-    pub duties: Vec<Duty>,
+    pub duties: Vec<MethodConfig>,
     /// The shortest soft deadline of all methods, in seconds.
     pub least_soft: f64,
-    pub exposure: Exposure,
+    pub exposure: ExposureConfig,
     /// Maximum picks per RPC.
     pub most_picks: usize,
     /// An RPC may have more than one pick in flight.
@@ -71,7 +71,7 @@
 }
 
 /// Config of one method.
-pub struct Duty {
+pub struct MethodConfig {
     /// Whether its RPCs may be executed more than once.
     pub repeat: Repeat,
     /// Soft deadline in seconds.
@@ -83,7 +83,7 @@
 }
 
 /// Config of the exposure budget of a build on trial.
-pub struct Exposure {
+pub struct ExposureConfig {
     /// Exposure cap in stage 0.
     pub first_cap: f64,
     /// The window over which exposure is counted.
@@ -96,7 +96,7 @@
     pub one_way: bool,
 }
 
-impl Charter {
+impl Config {
     /// Derives the figures from the start config.
     pub fn new(terms: &RolloutTerms) -> Self {
         let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
@@ -104,15 +104,15 @@
         let marshals = terms.marshals.max(1) as f64;
         let duty = |(i, m): (usize, &MethodTerms)| {
             let (soft, worth) = (m.soft_deadline.as_secs_f64(), m.utility / mean);
-            Duty { repeat: m.repeat, soft, worth, slot: if release.by_method { i } else { 0 } }
+            MethodConfig { repeat: m.repeat, soft, worth, slot: if release.by_method { i } else { 0 } }
         };
-        let duties: Vec<Duty> = terms.methods.iter().enumerate().map(duty).collect();
+        let duties: Vec<MethodConfig> = terms.methods.iter().enumerate().map(duty).collect();
         let (window, free, one_way) = (release.window, release.free, release.one_way);
         let (first_cap, guarded) = (release.caps.first().copied().unwrap_or(0.0), release.guarded_stages);
-        Charter {
+        Config {
             least_soft: duties.iter().map(|d| d.soft).fold(f64::INFINITY, f64::min),
             duties,
-            exposure: Exposure { first_cap, window, free, guarded, one_way },
+            exposure: ExposureConfig { first_cap, window, free, guarded, one_way },
             most_picks: limits.most_picks,
             copies: limits.second_copies,
             retry_after: limits.retry_after,
--- a/crates/policy/src/state/discovery_client.rs
+++ b/crates/policy/src/state/discovery_client.rs
@@ -6,7 +6,7 @@
 
 /// The subscription to the node list, and when to request it.
 #[derive(Default)]
-pub struct Membership {
+pub struct DiscoveryClient {
     /// The last result from discovery was an answer; false after a failure.
     pub subscribed: bool,
     /// The first call is scheduled.
--- a/crates/policy/src/state/dispatcher.rs
+++ b/crates/policy/src/state/dispatcher.rs
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub struct Node {
     /// Status as last published to the other components.
-    pub card: Card,
+    pub card: NodeStatus,
     /// Picks in flight: RPC, pick, method, time of the send, and the node as listed then.
     pub out: Vec<(RpcIx, usize, usize, Duration, NodeEntry)>,
     /// When the node last answered or failed other than by a timeout.
@@ -58,9 +58,9 @@
 
 /// State of the rules that every send has to pass.
 #[derive(Default)]
-pub struct Gate {
+pub struct SendRules {
     /// The rollout as the controller last reported it.
-    pub news: Option<News>,
+    pub news: Option<RolloutStatus>,
     /// Times of received RPCs, by method.
     pub taken: BTreeMap<usize, Times>,
     /// Times of picks, by build and method.
@@ -77,7 +77,7 @@
     pub full: Option<Duration>,
 }
 
-impl Gate {
+impl SendRules {
     /// Records that a build has answered a key. A later answer of an earlier build does not undo this.
     pub fn cross(&mut self, key: u64, build: Build) {
         let met = self.crossed.entry(key).or_default();
@@ -86,14 +86,14 @@
 
     /// Records a send for the budgets, whether or not the build is on trial: it may be reported as on trial a
     /// moment later.
-    pub fn book(&mut self, cx: &Cx, method: usize, entry: &NodeEntry) {
+    pub fn book(&mut self, cx: &Context, method: usize, entry: &NodeEntry) {
         self.sent.entry((entry.build, method)).or_default().push_back(cx.now);
         self.cold_sent.entry(entry.node).or_default().push_back(cx.now);
     }
     /// Picks that the exposure budget grants regardless of traffic; none within a window of the time at which
     /// the budgets were set to fully spent.
-    pub fn free(&self, cx: &Cx) -> f64 {
-        let full = self.full.is_some_and(|at| cx.now < at + cx.law.exposure.window + crate::policy::BEAT);
+    pub fn free(&self, cx: &Context) -> f64 {
+        let full = self.full.is_some_and(|at| cx.now < at + cx.law.exposure.window + crate::policy::TICK);
         if full {
             0.0
         } else {
@@ -103,7 +103,7 @@
 
     /// Unknown earlier sends to a cold node, which count as more than any budget for one window after the
     /// budgets were set to fully spent.
-    pub fn unknown(&self, cx: &Cx) -> f64 {
+    pub fn unknown(&self, cx: &Context) -> f64 {
         let full = self.full.is_some_and(|at| cx.now < at + cx.law.fall_window);
         if full {
             f64::INFINITY
@@ -114,7 +114,7 @@
 
     /// Counts the picks of a build and the received RPCs, over the methods of one exposure budget, each
     /// within its own time span. Only methods with recent traffic are visited.
-    pub fn counted(&self, cx: &Cx, build: Build, slot: usize, [late, early]: [Duration; 2]) -> [f64; 2] {
+    pub fn counted(&self, cx: &Context, build: Build, slot: usize, [late, early]: [Duration; 2]) -> [f64; 2] {
         let counts = |method: &usize| cx.law.duties.get(*method).is_some_and(|d| d.slot == slot);
         let sent = self.sent.range((build, 0)..=(build, usize::MAX)).filter(|s| counts(&s.0 .1));
         let taken = self.taken.iter().filter(|t| counts(t.0));
@@ -145,11 +145,11 @@
 
 /// State of RPC dispatch: the RPCs in progress and what decides where they are sent.
 #[derive(Default)]
-pub struct Front {
+pub struct Dispatcher {
     /// The rules that every send has to pass.
-    pub gate: Gate,
+    pub gate: SendRules,
     /// Status of all nodes, by node index.
-    pub cards: Vec<Card>,
+    pub cards: Vec<NodeStatus>,
     /// The ready nodes of the older arm and of the newest build, cold nodes first; rebuilt when `stale`.
     pub arms: [Vec<NodeIx>; 2],
     /// The lists and sums over nodes have to be rebuilt.
@@ -197,9 +197,9 @@
     /// This marshal's part of the fleet's capacity.
     pub fair: f64,
     /// Latencies of recent answers in parts of the soft deadline, as a signal of congestion.
-    pub lags: Ledger,
+    pub lags: OutcomeStats,
     /// Latencies of recent picks of any length, including those cut short.
-    pub odds: Ledger,
+    pub odds: OutcomeStats,
     /// Soft deadlines of abandoned picks, which may still occupy a node's queue until then.
     pub ghosts: Times,
     /// When the concurrency limit was last cut.
@@ -212,10 +212,10 @@
     pub draws: u64,
 }
 
-impl Front {
+impl Dispatcher {
     /// Stores a node's status, and marks the lists as stale if it changed in what they rest on.
-    pub fn file(&mut self, card: Card) {
-        self.cards.resize(self.cards.len().max(card.entry.node + 1), Card::default());
+    pub fn file(&mut self, card: NodeStatus) {
+        self.cards.resize(self.cards.len().max(card.entry.node + 1), NodeStatus::default());
         let old = std::mem::replace(&mut self.cards[card.entry.node], card);
         self.stale |= (old.ready, old.resting, old.entry) != (card.ready, card.resting, card.entry);
     }
@@ -226,15 +226,15 @@
 
     /// Own picks that presumably occupy a node: RPCs with a pick in flight, and abandoned picks, each until
     /// its soft deadline.
-    pub fn out(&self, cx: &Cx) -> f64 {
+    pub fn out(&self, cx: &Context) -> f64 {
         let held = |r: &&Rpc| cx.now < r.soft && r.picks.iter().any(|p| p.out);
         let ghosts = self.ghosts.iter().filter(|until| cx.now < **until);
         (self.rpcs.values().filter(held).count() + ghosts.count()) as f64
     }
 
     /// Whether a rollout is in its last stage and the earlier machines still run.
-    pub fn last_stage(&self, cx: &Cx) -> bool {
-        let trial = |n: &News| n.course == Course::OnTrial && Some(n.stage) == cx.law.rehearse;
+    pub fn last_stage(&self, cx: &Context) -> bool {
+        let trial = |n: &RolloutStatus| n.course == Course::OnTrial && Some(n.stage) == cx.law.rehearse;
         self.gate.news.as_ref().is_some_and(trial)
     }
 
@@ -244,8 +244,8 @@
     }
     /// Rebuilds the list of ready nodes of each arm, in this marshal's own random order, and their present
     /// capacity.
-    pub fn muster(&mut self, cx: &Cx) {
-        let ready = |c: &&Card| c.ready;
+    pub fn muster(&mut self, cx: &Context) {
+        let ready = |c: &&NodeStatus| c.ready;
         for (arm, list) in self.arms.iter_mut().enumerate() {
             let mine =
                 self.cards.iter().filter(ready).filter(|c| (c.entry.build == self.newest) == (arm == 1));
--- a/crates/policy/src/state/memory.rs
+++ b/crates/policy/src/state/memory.rs
@@ -5,39 +5,45 @@
 use super::*;
 
 /// Overhead in bytes of an entry of a map or set.
-const ENTRY: usize = 24;
+const ENTRY_OVERHEAD_BYTES: usize = 24;
 /// Messages for which an inbox that was used keeps capacity.
-const INBOX: usize = 4;
+const INBOX_CAPACITY: usize = 4;
 
 /// Bytes per listed node, used or not.
 pub fn node_bytes() -> usize {
-    let inbox = size_of::<std::collections::VecDeque<Note>>() + INBOX * size_of::<Note>();
-    let listed = size_of::<NodeEntry>() + 2 * ENTRY;
+    let inbox = size_of::<std::collections::VecDeque<Message>>() + INBOX_CAPACITY * size_of::<Message>();
+    let listed = size_of::<NodeEntry>() + 2 * ENTRY_OVERHEAD_BYTES;
     // Its evidence is allocated with the first outcome, and counted there.
-    size_of::<Node>() + inbox + listed + size_of::<Book>() + size_of::<Card>() + 2 * size_of::<NodeIx>()
+    size_of::<Node>()
+        + inbox
+        + listed
+        + size_of::<NodeRecord>()
+        + size_of::<NodeStatus>()
+        + 2 * size_of::<NodeIx>()
 }
 
 /// Bytes of all state of a marshal.
-pub fn reckon(nodes: &[Node], front: &Front, judge: &Judge) -> usize {
+pub fn reckon(nodes: &[Node], front: &Dispatcher, judge: &CanaryAnalysis) -> usize {
     let gate = &front.gate;
     let lists = || gate.taken.values().chain(gate.sent.values()).chain(gate.cold_sent.values());
-    let times = lists().map(|t| size_of::<Times>() + 2 * ENTRY + t.capacity() * size_of::<Duration>());
-    let keys = (gate.crossed.len() + gate.left.len()) * (2 * size_of::<u64>() + ENTRY);
-    let rpc = size_of::<Rpc>() + 2 * size_of::<Pick>() + 3 * ENTRY;
+    let times =
+        lists().map(|t| size_of::<Times>() + 2 * ENTRY_OVERHEAD_BYTES + t.capacity() * size_of::<Duration>());
+    let keys = (gate.crossed.len() + gate.left.len()) * (2 * size_of::<u64>() + ENTRY_OVERHEAD_BYTES);
+    let rpc = size_of::<Rpc>() + 2 * size_of::<Pick>() + 3 * ENTRY_OVERHEAD_BYTES;
     let ledgers = judge.bytes();
     let picks: usize = nodes
         .iter()
         .map(|n| n.out.capacity() * size_of::<(RpcIx, usize, usize, Duration, NodeEntry)>())
         .sum();
-    let own = size_of::<Cx>() + size_of::<Front>() + size_of::<Judge>();
+    let own = size_of::<Context>() + size_of::<Dispatcher>() + size_of::<CanaryAnalysis>();
     own + nodes.len() * node_bytes() + picks + front.rpcs.len() * rpc + times.sum::<usize>() + keys + ledgers
 }
 
-impl Gate {
+impl SendRules {
     /// Whether forgetting the recorded keys could break the one-way rule: a key that a build has answered
     /// could then be sent to an earlier build. Once that build is released and no earlier node is left, it
     /// cannot.
-    pub fn keys_open(&self, cx: &Cx) -> bool {
+    pub fn keys_open(&self, cx: &Context) -> bool {
         let Some(newest) = self.crossed.values().max().filter(|_| cx.law.exposure.one_way) else {
             return false;
         };
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -3,53 +3,53 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::{Charter, ListLease};
+use super::{Config, ListLease};
 use crate::port::*;
 
 /// Inbox of RPC dispatch.
-pub const FRONT: usize = 0;
+pub const DISPATCHER: usize = 0;
 /// Inbox of canary analysis.
-pub const JUDGE: usize = 1;
+pub const CANARY_ANALYSIS: usize = 1;
 /// Inbox of the discovery client.
-pub const MEMBERSHIP: usize = 2;
+pub const DISCOVERY_CLIENT: usize = 2;
 /// Inbox of node 0; the other nodes' inboxes follow by node index.
-pub const NODES: usize = 3;
+pub const FIRST_NODE: usize = 3;
 
 /// A message between components.
-pub enum Note {
+pub enum Message {
     /// An event from the driver.
-    Told(Event),
+    Event(Event),
     /// To a node: its entry in the node list.
-    Listed(NodeEntry),
+    NodeListed(NodeEntry),
     /// To a node: a pick was sent to it.
-    Sent { rpc: RpcIx, pick: usize, method: usize },
+    PickSent { rpc: RpcIx, pick: usize, method: usize },
     /// From a node: its status has changed.
-    Card(Card),
+    NodeStatus(NodeStatus),
     /// To canary analysis: the error of a first pick sent at `at` was the RPC's own.
-    Excused { entry: NodeEntry, method: usize, at: Duration },
+    ErrorExcused { entry: NodeEntry, method: usize, at: Duration },
     /// To canary analysis: a first pick sent at `at` has ended after `took` seconds.
-    Booked { entry: NodeEntry, method: usize, at: Duration, outcome: Outcome, took: f64 },
+    PickEnded { entry: NodeEntry, method: usize, at: Duration, outcome: Outcome, took: f64 },
     /// To canary analysis: congestion in the last stage; the earlier build's nodes take traffic again.
-    Relieved,
+    CongestionRelief,
     /// From canary analysis to dispatch: which arm comes first.
-    Favour { newest: Build, new_first: bool, starved: bool },
+    ArmOrder { newest: Build, new_first: bool, starved: bool },
     /// To dispatch: try to send waiting RPCs.
-    Pump,
+    SendWaiting,
     /// The regular tick.
-    Beat,
+    Tick,
 }
 
 /// What every component is given: the time, the config, the node list, the inboxes and the actions to return.
-pub struct Cx {
+pub struct Context {
     /// Time of the present call.
     pub now: Duration,
-    pub law: Charter,
+    pub law: Config,
     /// Each node as last listed.
     pub listed: BTreeMap<NodeIx, NodeEntry>,
     /// Which part of all nodes that is.
     pub sight: Sight,
-    /// Inboxes by component, see [`FRONT`] to [`NODES`].
-    pub boxes: Vec<VecDeque<Note>>,
+    /// Inboxes by component, see [`DISPATCHER`] to [`FIRST_NODE`].
+    pub boxes: Vec<VecDeque<Message>>,
     /// Inboxes that are not empty.
     pub full: BTreeSet<usize>,
     /// Nodes with picks in flight, or ejected; only these get ticks.
@@ -60,10 +60,10 @@
     pub lease: ListLease,
 }
 
-impl Cx {
-    pub fn new(law: Charter) -> Self {
-        let boxes = (0..NODES).map(|_| VecDeque::new()).collect();
-        Cx {
+impl Context {
+    pub fn new(law: Config) -> Self {
+        let boxes = (0..FIRST_NODE).map(|_| VecDeque::new()).collect();
+        Context {
             now: Duration::ZERO,
             law,
             listed: BTreeMap::new(),
@@ -76,7 +76,7 @@
         }
     }
     /// Removes the next message and names its inbox: nodes first, dispatch last.
-    pub fn next(&mut self) -> Option<(usize, Note)> {
+    pub fn next(&mut self) -> Option<(usize, Message)> {
         let to = *self.full.last()?;
         let note = self.boxes[to].pop_front();
         if self.boxes[to].is_empty() {
@@ -85,15 +85,15 @@
         Some((to, note?))
     }
     /// Appends a message to an inbox.
-    pub fn put(&mut self, to: usize, note: Note) {
+    pub fn put(&mut self, to: usize, note: Message) {
         self.boxes[to].push_back(note);
         self.full.insert(to);
     }
     /// Publishes a node's status, to dispatch ahead of all other messages.
-    pub fn show(&mut self, card: Card) {
-        self.boxes[FRONT].push_front(Note::Card(card));
-        self.full.insert(FRONT);
-        self.put(JUDGE, Note::Card(card));
+    pub fn show(&mut self, card: NodeStatus) {
+        self.boxes[DISPATCHER].push_front(Message::NodeStatus(card));
+        self.full.insert(DISPATCHER);
+        self.put(CANARY_ANALYSIS, Message::NodeStatus(card));
     }
     /// Turns a node's ticks on or off. Idle nodes get none, so they cost nothing however large the fleet is.
     pub fn rouse(&mut self, node: NodeIx, awake: bool) {
@@ -114,33 +114,33 @@
                 let listed = self.listed.values().filter(left);
                 let gone = listed.map(|e| NodeEntry { readiness: Readiness::Gone, ..*e });
                 for entry in gone.chain(nodes.iter().copied()).collect::<Vec<_>>() {
-                    let boxes = self.boxes.len().max(NODES + entry.node + 1);
+                    let boxes = self.boxes.len().max(FIRST_NODE + entry.node + 1);
                     self.boxes.resize_with(boxes, VecDeque::new);
                     self.listed.insert(entry.node, entry);
-                    self.put(NODES + entry.node, Note::Listed(entry));
+                    self.put(FIRST_NODE + entry.node, Message::NodeListed(entry));
                 }
-                MEMBERSHIP
+                DISCOVERY_CLIENT
             }
             Event::Discovery(sign) => {
                 self.lease.hear(self.now, *sign);
-                MEMBERSHIP
+                DISCOVERY_CLIENT
             }
             Event::Sight(sight) => {
                 self.sight = *sight;
                 return;
             }
             Event::PickEnded { node, .. } => {
-                self.put(NODES + node, Note::Told(event.clone()));
-                FRONT
+                self.put(FIRST_NODE + node, Message::Event(event.clone()));
+                DISPATCHER
             }
             Event::Stage { .. } => {
-                self.put(JUDGE, Note::Told(event.clone()));
-                FRONT
+                self.put(CANARY_ANALYSIS, Message::Event(event.clone()));
+                DISPATCHER
             }
-            Event::Rpc { .. } | Event::StreamBegun { .. } | Event::ClientLeft { .. } => FRONT,
-            _ => JUDGE,
+            Event::Rpc { .. } | Event::StreamBegun { .. } | Event::ClientLeft { .. } => DISPATCHER,
+            _ => CANARY_ANALYSIS,
         };
-        self.put(to, Note::Told(event));
+        self.put(to, Message::Event(event));
     }
     /// Time since the node's process started; a node without a start time is old.
     pub fn age(&self, entry: &NodeEntry) -> Duration {
@@ -150,7 +150,7 @@
 
 /// A node's status, as it publishes it to the other components.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub struct Card {
+pub struct NodeStatus {
     pub entry: NodeEntry,
     /// Listed as ready.
     pub ready: bool,
@@ -168,7 +168,7 @@
 
 /// State of a rollout, as the controller reports it.
 #[derive(Clone, Copy)]
-pub struct News {
+pub struct RolloutStatus {
     pub build: Build,
     pub stage: usize,
     /// Whether the build is on trial, released or rolled back.
@@ -179,14 +179,14 @@
     pub launched: Duration,
 }
 
-impl News {
+impl RolloutStatus {
     /// Whether the build is being rolled back, or has been.
     pub fn back(&self) -> bool {
         matches!(self.course, Course::GoingBack | Course::Withdrawn)
     }
     /// Reads a stage event, with the reply to a vote that it carries.
-    pub fn read(cx: &Cx, event: &Event) -> Option<(News, VoteReply)> {
+    pub fn read(cx: &Context, event: &Event) -> Option<(RolloutStatus, VoteReply)> {
         let &Event::Stage { build, stage, course, reply, cap, age } = event else { return None };
-        Some((News { build, stage, course, cap, launched: cx.now.saturating_sub(age) }, reply))
+        Some((RolloutStatus { build, stage, course, cap, launched: cx.now.saturating_sub(age) }, reply))
     }
 }
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -4,7 +4,7 @@
 
 use crate::port::NodeEntry;
 
-use super::Sums;
+use super::StatsTable;
 
 /// A two-bin histogram: the number of outcomes, and how many of them were good.
 #[derive(Clone, Copy, Default)]
@@ -33,17 +33,17 @@
 }
 
 /// Outcomes of the new and the old arm on one question.
-pub type Pair = [Tally; 2];
+pub type ArmPair = [Tally; 2];
 
 /// Adds `b` to `a`.
-pub fn join(a: &mut Pair, b: &Pair) {
+pub fn join(a: &mut ArmPair, b: &ArmPair) {
     a.iter_mut().zip(b).for_each(|(a, b)| a.add(*b, 1.0));
 }
 
 /// Statistics of one method: payoff, soundness (no error and no wrong answer reported), and latencies of ok
 /// answers in coarse bins.
 #[derive(Clone, Copy, Default)]
-pub struct Ledger {
+pub struct OutcomeStats {
     /// Ok answers within the soft deadline.
     pub paid: Tally,
     /// Answers without an error, and not reported as wrong.
@@ -54,13 +54,13 @@
     pub times: [f64; 16],
 }
 
-impl Ledger {
-    pub const NONE: Ledger = {
+impl OutcomeStats {
+    pub const EMPTY: OutcomeStats = {
         let none = Tally { n: 0.0, good: 0.0 };
-        Ledger { paid: none, sound: none, whole: none, times: [0.0; 16] }
+        OutcomeStats { paid: none, sound: none, whole: none, times: [0.0; 16] }
     };
     /// Adds `part` times other statistics.
-    pub fn add(&mut self, other: &Ledger, part: f64) {
+    pub fn add(&mut self, other: &OutcomeStats, part: f64) {
         self.paid.add(other.paid, part);
         self.sound.add(other.sound, part);
         self.whole.add(other.whole, part);
@@ -98,7 +98,7 @@
     }
     /// Clears payoff and latencies.
     pub fn forget_lateness(&mut self) {
-        *self = Ledger { sound: self.sound, whole: self.whole, ..Ledger::default() };
+        *self = OutcomeStats { sound: self.sound, whole: self.whole, ..OutcomeStats::default() };
     }
     /// Takes back an ok answer that a client reported as wrong.
     pub fn dispute(&mut self) {
@@ -120,50 +120,50 @@
 
 /// One method's statistics on one node, and the method's slot.
 #[derive(Clone)]
-struct Line {
+struct MethodStats {
     method: usize,
     slot: usize,
-    ledger: Ledger,
+    ledger: OutcomeStats,
 }
 
-/// Sums over a node's methods, cached until one changes.
+/// StatsTable over a node's methods, cached until one changes.
 #[derive(Clone, Copy)]
-struct Brief {
+struct StatsTotals {
     /// Number of missed outcomes, of soundness and of payoff.
     faults: f64,
     /// Soundness and payoff of all methods.
-    sums: Pair,
+    sums: ArmPair,
     /// The node has had outcomes.
     used: bool,
 }
 
 /// Methods and slots whose statistics have changed since the last sum over the arm.
 #[derive(Clone, Default)]
-pub enum Touched {
+pub enum Changes {
     #[default]
     All,
-    Some(Vec<(usize, usize)>),
+    Listed(Vec<(usize, usize)>),
 }
 
 /// Number of changes that are listed singly; beyond it everything counts as changed.
-const MOST_TOUCHED: usize = 64;
+const MAX_LISTED_CHANGES: usize = 64;
 
 /// Evidence on one process of a node: statistics for each method that has had an outcome there, none for the
 /// others.
 #[derive(Clone, Default)]
-pub struct Book {
+pub struct NodeRecord {
     pub entry: NodeEntry,
     /// Listed as ready.
     pub ready: bool,
     /// Ejected or on probation.
     pub ill: bool,
     /// In ascending order of methods, the order of all sums.
-    lines: Vec<Line>,
-    brief: Cell<Option<Brief>>,
-    touched: RefCell<Touched>,
+    lines: Vec<MethodStats>,
+    brief: Cell<Option<StatsTotals>>,
+    touched: RefCell<Changes>,
 }
 
-impl Book {
+impl NodeRecord {
     /// Whether this is the record of the process that the entry names, not of an earlier or later one with
     /// the same index.
     pub fn is(&self, entry: &NodeEntry) -> bool {
@@ -174,29 +174,29 @@
         self.lines.binary_search_by_key(&method, |l| l.method)
     }
     /// A method's statistics, created if there are none.
-    pub fn at(&mut self, method: usize, slot: usize) -> &mut Ledger {
+    pub fn at(&mut self, method: usize, slot: usize) -> &mut OutcomeStats {
         let at = self.find(method).unwrap_or_else(|at| {
             // These entries are large, so capacity grows by a quarter rather than doubling.
             if self.lines.len() == self.lines.capacity() {
                 self.lines.reserve_exact(4.max(self.lines.len() / 4));
             }
-            self.lines.insert(at, Line { method, slot, ledger: Ledger::NONE });
+            self.lines.insert(at, MethodStats { method, slot, ledger: OutcomeStats::EMPTY });
             at
         });
         self.touch(at)
     }
     /// A method's statistics, if there are any. For corrections, which need no new entry.
-    pub fn known(&mut self, method: usize) -> Option<&mut Ledger> {
+    pub fn known(&mut self, method: usize) -> Option<&mut OutcomeStats> {
         self.find(method).ok().map(|at| self.touch(at))
     }
     /// Marks an entry as changed and returns its statistics.
-    fn touch(&mut self, at: usize) -> &mut Ledger {
+    fn touch(&mut self, at: usize) -> &mut OutcomeStats {
         let line = &mut self.lines[at];
         self.brief.set(None);
-        if let Touched::Some(lines) = self.touched.get_mut() {
+        if let Changes::Listed(lines) = self.touched.get_mut() {
             lines.push((line.method, line.slot));
-            if lines.len() > MOST_TOUCHED {
-                *self.touched.get_mut() = Touched::All;
+            if lines.len() > MAX_LISTED_CHANGES {
+                *self.touched.get_mut() = Changes::All;
             }
         }
         &mut line.ledger
@@ -204,14 +204,14 @@
     /// Marks everything as changed.
     pub fn touch_all(&mut self) {
         self.brief.set(None);
-        *self.touched.get_mut() = Touched::All;
+        *self.touched.get_mut() = Changes::All;
     }
     /// Returns and resets what has changed since the last call.
-    pub fn touched(&self) -> Touched {
-        self.touched.replace(Touched::Some(Vec::new()))
+    pub fn touched(&self) -> Changes {
+        self.touched.replace(Changes::Listed(Vec::new()))
     }
     /// All statistics, marked as changed.
-    pub fn ledgers(&mut self) -> impl Iterator<Item = &mut Ledger> {
+    pub fn ledgers(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
         self.touch_all();
         self.lines.iter_mut().map(|l| &mut l.ledger)
     }
@@ -221,15 +221,15 @@
         self.lines = Vec::new();
     }
     /// The sums over all methods, from the cache if nothing has changed.
-    fn brief(&self) -> Brief {
+    fn brief(&self) -> StatsTotals {
         let brief = self.brief.get().unwrap_or_else(|| {
-            let (mut faults, mut sums, mut used) = (0.0, Pair::default(), false);
-            for Line { ledger, .. } in &self.lines {
+            let (mut faults, mut sums, mut used) = (0.0, ArmPair::default(), false);
+            for MethodStats { ledger, .. } in &self.lines {
                 faults += ledger.faults();
                 join(&mut sums, &[ledger.sound, ledger.paid]);
                 used |= ledger.sound.n + ledger.paid.n > 0.0;
             }
-            Brief { faults, sums, used }
+            StatsTotals { faults, sums, used }
         });
         self.brief.set(Some(brief));
         brief
@@ -239,7 +239,7 @@
         self.brief().faults
     }
     /// Soundness and payoff of all methods.
-    pub fn sums(&self) -> Pair {
+    pub fn sums(&self) -> ArmPair {
         self.brief().sums
     }
     /// Whether the node has had outcomes.
@@ -247,15 +247,15 @@
         self.brief().used
     }
     /// Adds all methods to a table.
-    pub fn add_to(&self, sums: &mut Sums) {
+    pub fn add_to(&self, sums: &mut StatsTable) {
         self.lines.iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.ledger));
     }
     /// Adds one method to a table.
-    pub fn add_one(&self, method: usize, sums: &mut Sums) {
+    pub fn add_one(&self, method: usize, sums: &mut StatsTable) {
         let line = self.find(method).ok().map(|at| &self.lines[at]);
         line.into_iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.ledger));
     }
     pub fn bytes(&self) -> usize {
-        self.lines.capacity() * size_of::<Line>()
+        self.lines.capacity() * size_of::<MethodStats>()
     }
 }
--- a/crates/policy/src/state/stats_table.rs
+++ b/crates/policy/src/state/stats_table.rs
@@ -5,9 +5,9 @@
 /// The observed methods in ascending order, each with a slot. A slot is assigned at first sight and never
 /// changes, so that records survive a new config. Methods without traffic have none.
 #[derive(Default)]
-pub struct Seen(Vec<(usize, usize)>);
+pub struct ObservedMethods(Vec<(usize, usize)>);
 
-impl Seen {
+impl ObservedMethods {
     /// Number of observed methods.
     pub fn len(&self) -> usize {
         self.0.len()
@@ -30,8 +30,8 @@
     /// Statistics of two arms, by kind, then by method, the order of all sums. Each item holds the method's
     /// index among those observed, the method, and the entries of both arms.
     pub fn cells<'a>(
-        &'a self, a: &'a Sums, b: &'a Sums,
-    ) -> impl Iterator<Item = (usize, usize, &'a Ledger, &'a Ledger)> + 'a {
+        &'a self, a: &'a StatsTable, b: &'a StatsTable,
+    ) -> impl Iterator<Item = (usize, usize, &'a OutcomeStats, &'a OutcomeStats)> + 'a {
         let kinds = a.of.len().max(b.of.len());
         let row = move |kind| {
             self.iter()
@@ -53,40 +53,40 @@
 
 /// Statistics by node kind and by slot of the observed methods.
 #[derive(Clone, Default)]
-pub struct Sums {
-    of: Vec<Vec<Ledger>>,
+pub struct StatsTable {
+    of: Vec<Vec<OutcomeStats>>,
     /// Incremented by each change; at 0 nothing has been added.
     version: u64,
 }
 
-impl Sums {
+impl StatsTable {
     /// The entry of a kind and slot; an empty one where nothing was added.
-    pub fn get(&self, kind: usize, slot: usize) -> &Ledger {
-        const NONE: &Ledger = &Ledger::NONE;
-        self.of.get(kind).and_then(|of| of.get(slot)).unwrap_or(NONE)
+    pub fn get(&self, kind: usize, slot: usize) -> &OutcomeStats {
+        const EMPTY: &OutcomeStats = &OutcomeStats::EMPTY;
+        self.of.get(kind).and_then(|of| of.get(slot)).unwrap_or(EMPTY)
     }
     /// Adds to the entry of a kind and slot.
-    pub fn add(&mut self, kind: usize, slot: usize, ledger: &Ledger) {
+    pub fn add(&mut self, kind: usize, slot: usize, ledger: &OutcomeStats) {
         self.version += 1;
         if self.of.len() <= kind {
             self.of.resize_with(kind + 1, Vec::new);
         }
         let of = &mut self.of[kind];
         if of.len() <= slot {
-            of.resize(slot + 1, Ledger::NONE);
+            of.resize(slot + 1, OutcomeStats::EMPTY);
         }
         of[slot].add(ledger, 1.0);
     }
-    pub fn iter(&self) -> impl Iterator<Item = &Ledger> {
+    pub fn iter(&self) -> impl Iterator<Item = &OutcomeStats> {
         self.of.iter().flatten()
     }
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Ledger> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
         self.version += 1;
         self.of.iter_mut().flatten()
     }
     /// Removes all entries.
     pub fn clear(&mut self) {
-        *self = Sums { of: Vec::new(), version: self.version + 1 };
+        *self = StatsTable { of: Vec::new(), version: self.version + 1 };
     }
     /// Removes the entries of kinds that are no longer configured.
     pub fn limit(&mut self, kinds: usize) {
@@ -94,13 +94,13 @@
         self.of.truncate(kinds);
     }
     /// Copies one method's entries from another table.
-    fn copy(&mut self, slot: usize, other: &Sums) {
+    fn copy(&mut self, slot: usize, other: &StatsTable) {
         for (kind, of) in self.of.iter_mut().enumerate() {
             of.get_mut(slot).into_iter().for_each(|ledger| *ledger = *other.get(kind, slot));
         }
     }
     pub fn bytes(&self) -> usize {
-        self.of.iter().map(|of| of.capacity() * size_of::<Ledger>()).sum()
+        self.of.iter().map(|of| of.capacity() * size_of::<OutcomeStats>()).sum()
     }
 }
 
@@ -108,24 +108,24 @@
 /// methods concerned are summed anew, always from the start and in the same order, because rounding depends
 /// on the order.
 #[derive(Default)]
-pub struct Arm {
-    pub sums: Sums,
+pub struct ArmStats {
+    pub sums: StatsTable,
     /// The nodes included, in order.
     nodes: Vec<NodeIx>,
     /// Version of the base table; none before the first sum.
     base: Option<u64>,
 }
 
-impl Arm {
+impl ArmStats {
     /// Brings the sums up to date with the base table and the given nodes.
-    pub fn sum(&mut self, base: Option<&Sums>, books: &[&Book]) {
-        let nothing = Sums::default();
+    pub fn sum(&mut self, base: Option<&StatsTable>, books: &[&NodeRecord]) {
+        let nothing = StatsTable::default();
         let base = base.unwrap_or(&nothing);
         let same = self.nodes.iter().copied().eq(books.iter().map(|b| b.entry.node));
         let mut touched = Some(Vec::new()).filter(|_| same && self.base == Some(base.version));
         for book in books {
             match (book.touched(), &mut touched) {
-                (Touched::Some(lines), Some(touched)) => touched.extend(lines),
+                (Changes::Listed(lines), Some(touched)) => touched.extend(lines),
                 _ => touched = None,
             }
         }
