--- a/crates/policy/src/policy/congestion.rs
+++ b/crates/policy/src/policy/congestion.rs
@@ -20,21 +20,22 @@
     /// Updates the latency histograms when a pick ends. A pick cut short would have taken longer, and a full
     /// queue counts as the longest. An abandoned pick may still occupy a node's queue, and counts as in
     /// flight until its soft deadline.
-    pub fn heed(&mut self, rpc: RpcIx, outcome: Outcome, took: Duration, cx: &Context) {
-        let soft = self.rpcs.get(&rpc).map_or(cx.law.least_soft, |r| cx.law.duties[r.method].soft);
-        let part = took.as_secs_f64() / soft;
-        let at = match outcome {
-            Outcome::Ok => bin(part),
-            Outcome::Full => bin(f64::MAX),
+    pub fn record_latency(&mut self, rpc: RpcIx, outcome: Outcome, took: Duration, ctx: &Context) {
+        let soft_secs =
+            self.rpcs.get(&rpc).map_or(ctx.config.min_soft_secs, |r| ctx.config.methods[r.method].soft_secs);
+        let soft_part = took.as_secs_f64() / soft_secs;
+        let bin = match outcome {
+            Outcome::Ok => latency_bin(soft_part),
+            Outcome::Full => latency_bin(f64::MAX),
             Outcome::Timeout | Outcome::Cancelled => {
-                self.ghosts.push_back(cx.now + secs(soft).saturating_sub(took));
-                (bin(part) + 1).min(bin(f64::MAX))
+                self.abandoned.push_back(ctx.now + secs(soft_secs).saturating_sub(took));
+                (latency_bin(soft_part) + 1).min(latency_bin(f64::MAX))
             }
             _ => return,
         };
-        self.odds.meet(at, CONGESTION[2] / 2.0);
-        if part > CUT_SHORT_PART || matches!(outcome, Outcome::Ok | Outcome::Full) {
-            self.lags.meet(at, CONGESTION[2]);
+        self.pick_latencies.add_latency(bin, CONGESTION[2] / 2.0);
+        if soft_part > CUT_SHORT_PART || matches!(outcome, Outcome::Ok | Outcome::Full) {
+            self.latencies.add_latency(bin, CONGESTION[2]);
         }
     }
 
@@ -42,33 +43,42 @@
     /// against clients that give up early and retry at once: during congestion all nodes would work for them
     /// alone. A new RPC with normal time always passes. May reject some RPCs whose method is quicker than the
     /// others.
-    pub fn slim(&mut self, left: f64, repeated: bool, cx: &Context) -> bool {
-        let (odds, draw) = (self.odds.upto(bin(left)), lot(cx.law.seed, cx.now.as_nanos() as u64));
-        let part = (SHORT_SEND[0] * odds.mean()).powi(2).max(SHORT_SEND[1]);
-        let late =
-            self.lags.edge(CONGESTION[3], CONGESTION[2] / 6.0).is_some_and(|e| e >= bin(CONGESTION[1]));
+    pub fn should_shed(&mut self, left: f64, repeated: bool, ctx: &Context) -> bool {
+        let (answered, draw) = (
+            self.pick_latencies.up_to(latency_bin(left)),
+            random_unit(ctx.config.seed, ctx.now.as_nanos() as u64),
+        );
+        let send_probability = (SHORT_SEND[0] * answered.mean()).powi(2).max(SHORT_SEND[1]);
+        let congested = self
+            .latencies
+            .quantile_bin(CONGESTION[3], CONGESTION[2] / 6.0)
+            .is_some_and(|e| e >= latency_bin(CONGESTION[1]));
         // A client's retry is a repeat like one of ours, and draws on the same retry budget.
-        let paid = !repeated || !late || self.retries >= 1.0;
-        let short = left < 1.0 && odds.n >= CONGESTION[2] / 6.0 && draw > part;
-        self.retries -= f64::from(u8::from(repeated && late && paid && !short));
-        short || !paid
+        let affordable = !repeated || !congested || self.retry_budget >= 1.0;
+        let shed = left < 1.0 && answered.n >= CONGESTION[2] / 6.0 && draw > send_probability;
+        self.retry_budget -= f64::from(u8::from(repeated && congested && affordable && !shed));
+        shed || !affordable
     }
 
     /// Adjusts the concurrency limit, never below this marshal's part of the fleet: with many marshals a
     /// node's queue grows though each has only one pick there. Guards against overload where time-outs do not
     /// stop the work.
-    pub fn make_room(&mut self, took: Duration, cx: &mut Context) {
-        let crowded =
-            self.lags.edge(CONGESTION[0], CONGESTION[2] / 3.0).is_some_and(|e| e >= bin(CONGESTION[1]));
-        if crowded && cx.now > self.cut + took {
-            if self.last_stage(cx) {
-                self.relief = cx.now + RELIEF_PERIOD;
-                cx.put(CANARY_ANALYSIS, Message::CongestionRelief);
+    pub fn adjust_limit(&mut self, took: Duration, ctx: &mut Context) {
+        let congested = self
+            .latencies
+            .quantile_bin(CONGESTION[0], CONGESTION[2] / 3.0)
+            .is_some_and(|e| e >= latency_bin(CONGESTION[1]));
+        if congested && ctx.now > self.limit_cut_at + took {
+            if self.last_stage(ctx) {
+                self.relief_until = ctx.now + RELIEF_PERIOD;
+                ctx.post(CANARY_ANALYSIS, Message::CongestionRelief);
             }
-            (self.room, self.cut) =
-                ((0.8 * self.out(cx)).max(MIN_IN_FLIGHT_PER_POWER * self.fair).max(1.0), cx.now);
-        } else if !crowded && self.out(cx) + 2.0 > self.room {
-            self.room += 1.0 / self.room;
+            (self.concurrency_limit, self.limit_cut_at) = (
+                (0.8 * self.occupied(ctx)).max(MIN_IN_FLIGHT_PER_POWER * self.fair_capacity).max(1.0),
+                ctx.now,
+            );
+        } else if !congested && self.occupied(ctx) + 2.0 > self.concurrency_limit {
+            self.concurrency_limit += 1.0 / self.concurrency_limit;
         }
     }
 }
--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -36,33 +36,35 @@
 
 impl DiscoveryClient {
     /// Handles one message.
-    pub fn act(&mut self, note: Message, cx: &mut Context) {
-        let Some(pause) = cx.law.ask_pause else { return };
-        match note {
+    pub fn handle(&mut self, message: Message, ctx: &mut Context) {
+        let Some(pause) = ctx.config.call_pause_secs else { return };
+        match message {
             Message::Event(Event::Nodes { scope: Scope::Failed, .. }) => {
                 (self.subscribed, self.failures) = (false, self.failures.saturating_add(1));
-                self.ask_at = cx.now + self.retry_after(pause, cx);
+                self.next_call = ctx.now + self.retry_delay(pause, ctx);
             }
             Message::Event(Event::Nodes { scope: Scope::Full | Scope::Delta, .. }) => self.answered(),
             Message::Event(Event::Discovery(DiscoverySign::Confirmed { next_within, .. })) => {
                 self.answered();
-                self.sign_due = Some(cx.now + next_within);
+                self.sign_due = Some(ctx.now + next_within);
             }
             Message::Tick
-                if self.subscribed && self.sign_due.is_some_and(|due| cx.now > due + SIGN_GRACE) =>
+                if self.subscribed && self.sign_due.is_some_and(|due| ctx.now > due + SIGN_GRACE) =>
             {
-                cx.out.push(Action::Log(
+                ctx.actions.push(Action::Log(
                     "node list watch gave no sign of life in time; subscribing again".to_owned(),
                 ));
                 self.subscribed = false;
             }
-            Message::Tick if cx.lease.bounded() && !std::mem::replace(&mut self.begun, true) => {
-                self.ask_at = cx.now + Self::draw([0.0, FIRST_CALL_WITHIN_SECS], cx);
+            Message::Tick
+                if ctx.lease.is_bounded() && !std::mem::replace(&mut self.first_call_planned, true) =>
+            {
+                self.next_call = ctx.now + Self::random_delay([0.0, FIRST_CALL_WITHIN_SECS], ctx);
             }
-            Message::Tick if !self.subscribed && (cx.now >= self.ask_at || self.knows_nothing(cx)) => {
-                self.called = true;
-                self.ask_at = cx.now + Self::limit(UNANSWERED_CALL_PAUSES * pause, cx);
-                cx.out.push(Action::Subscribe(true));
+            Message::Tick if !self.subscribed && (ctx.now >= self.next_call || self.knows_nothing(ctx)) => {
+                self.call_made = true;
+                self.next_call = ctx.now + Self::limited_delay(UNANSWERED_CALL_PAUSES * pause, ctx);
+                ctx.actions.push(Action::Subscribe(true));
             }
             _ => {}
         }
@@ -70,19 +72,22 @@
 
     /// The delay between a failure and the next call. It is shorter where a refusal comes at once and costs
     /// discovery nothing, as in the simulator, than where calls are queued.
-    fn retry_after(&self, pause: f64, cx: &Context) -> Duration {
-        if cx.lease.bounded() {
-            return Self::draw(if self.failures == 1 { FIRST_RETRY_SECS } else { LATER_RETRY_SECS }, cx);
+    fn retry_delay(&self, pause: f64, ctx: &Context) -> Duration {
+        if ctx.lease.is_bounded() {
+            return Self::random_delay(
+                if self.failures == 1 { FIRST_RETRY_SECS } else { LATER_RETRY_SECS },
+                ctx,
+            );
         }
-        let part = 0.5 + 0.5 * lot(cx.law.seed, cx.now.as_nanos() as u64);
+        let part = 0.5 + 0.5 * random_unit(ctx.config.seed, ctx.now.as_nanos() as u64);
         let doubled = self.failures.min(MAX_BACKOFF_FAILURES) as i32 - 1;
-        Self::limit(UNQUEUED_RETRY[0] * pause * UNQUEUED_RETRY[1].powi(doubled) * part, cx)
+        Self::limited_delay(UNQUEUED_RETRY[0] * pause * UNQUEUED_RETRY[1].powi(doubled) * part, ctx)
     }
 
     /// Whether no call has been made and no node is known from before, so that there is nothing to serve with
     /// meanwhile.
-    fn knows_nothing(&self, cx: &Context) -> bool {
-        !self.called && cx.listed.is_empty()
+    fn knows_nothing(&self, ctx: &Context) -> bool {
+        !self.call_made && ctx.listed.is_empty()
     }
 
     /// Discovery has answered.
@@ -91,13 +96,13 @@
     }
 
     /// A random delay in this range of seconds.
-    fn draw([least, most]: [f64; 2], cx: &Context) -> Duration {
-        let part = lot(cx.law.seed, cx.now.as_nanos() as u64);
-        Self::limit(least + (most - least) * part, cx)
+    fn random_delay([least, most]: [f64; 2], ctx: &Context) -> Duration {
+        let part = random_unit(ctx.config.seed, ctx.now.as_nanos() as u64);
+        Self::limited_delay(least + (most - least) * part, ctx)
     }
 
     /// A delay, limited to half of the longest allowed time without a call.
-    fn limit(seconds: f64, cx: &Context) -> Duration {
-        secs(seconds).min(cx.law.ask_within / 2)
+    fn limited_delay(seconds: f64, ctx: &Context) -> Duration {
+        secs(seconds).min(ctx.config.max_call_gap / 2)
     }
 }
--- a/crates/policy/src/policy/dispatcher.rs
+++ b/crates/policy/src/policy/dispatcher.rs
@@ -15,171 +15,198 @@
 
 impl Dispatcher {
     /// Handles one message.
-    pub fn act(&mut self, note: Message, cx: &mut Context) {
-        match note {
-            Message::NodeStatus(card) => self.file(card),
-            Message::ArmOrder { newest, new_first, starved } => {
+    pub fn handle(&mut self, message: Message, ctx: &mut Context) {
+        match message {
+            Message::NodeStatus(status) => self.update_status(status),
+            Message::ArmOrder { newest, new_first, abstaining } => {
                 if self.newest != newest {
                     // Marshals start at different credits, so that low-traffic ones do not all try a new
                     // build at the same time.
-                    (self.stale, self.due) = (true, [1.0, cx.law.phase]);
+                    (self.lists_stale, self.credit) = (true, [1.0, ctx.config.phase]);
                 }
-                (self.newest, self.new_first, self.starved) = (newest, new_first, starved);
+                (self.newest, self.new_first, self.abstaining) = (newest, new_first, abstaining);
             }
             Message::Event(Event::Rpc { rpc, method, key, left, repeated, .. }) => {
-                let duty = &cx.law.duties[method];
-                self.gate.taken.entry(method).or_default().push_back(cx.now);
-                self.pulse[0] += 1.0;
-                let store = RETRY_BUDGET[0] * RETRY_BUDGET[1] * self.pulse[0] / self.pulse[1].max(1.0);
-                self.retries += if repeated { 0.0 } else { RETRY_BUDGET[0] };
-                self.retries = self.retries.min(store.clamp(RETRY_BUDGET[2], RETRY_BUDGET[3]));
-                let slim = self.slim(left.as_secs_f64() / duty.soft, repeated, cx);
-                let (soft, until) = (cx.now + secs(duty.soft).min(left), cx.now + left);
-                let rank = soft.saturating_sub(secs(UTILITY_HEAD_START_SECS * duty.worth));
-                self.rpcs.insert(rpc, Rpc { method, key, soft, until, rank, ..Rpc::default() });
+                let method_config = &ctx.config.methods[method];
+                self.send_rules.received.entry(method).or_default().push_back(ctx.now);
+                self.arrivals[0] += 1.0;
+                let max_budget =
+                    RETRY_BUDGET[0] * RETRY_BUDGET[1] * self.arrivals[0] / self.arrivals[1].max(1.0);
+                self.retry_budget += if repeated { 0.0 } else { RETRY_BUDGET[0] };
+                self.retry_budget = self.retry_budget.min(max_budget.clamp(RETRY_BUDGET[2], RETRY_BUDGET[3]));
+                let shed = self.should_shed(left.as_secs_f64() / method_config.soft_secs, repeated, ctx);
+                let (soft_deadline, deadline) =
+                    (ctx.now + secs(method_config.soft_secs).min(left), ctx.now + left);
+                let rank = soft_deadline
+                    .saturating_sub(secs(UTILITY_HEAD_START_SECS * method_config.relative_utility));
+                self.rpcs.insert(rpc, Rpc { method, key, soft_deadline, deadline, rank, ..Rpc::default() });
                 // Where the build's nodes replaced earlier ones, the remaining nodes must not get more load
                 // during an abstention, or the test would show only that: the build's part is pushed back.
-                self.spare += if self.starved && cx.law.rehearse.is_none() { self.lent() } else { 0.0 };
-                if slim || self.spare >= 1.0 {
-                    self.spare -= if slim { 0.0 } else { 1.0 };
-                    self.give_up(rpc, cx);
+                self.withheld += if self.abstaining && ctx.config.rehearsal_stage.is_none() {
+                    self.newest_part()
                 } else {
-                    self.serve(rpc, cx);
+                    0.0
+                };
+                if shed || self.withheld >= 1.0 {
+                    self.withheld -= if shed { 0.0 } else { 1.0 };
+                    self.reject(rpc, ctx);
+                } else {
+                    self.send_or_queue(rpc, ctx);
                 }
             }
             Message::Event(Event::PickEnded { rpc, pick, node, outcome, took, done, .. }) => {
                 self.oks += f64::from(u8::from(outcome == Outcome::Ok));
-                let NodeEntry { build, kind, zone, .. } = self.cards[node].entry;
-                let lost = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::NoConnection);
-                if lost || outcome == Outcome::Ok {
-                    let took = took.as_secs_f64().max(if lost { cx.law.least_soft } else { 0.0 });
-                    let usual =
-                        self.groups.entry((kind, zone)).or_insert(INITIAL_LATENCY_PART * cx.law.least_soft);
-                    *usual += 0.1 * (took - *usual);
+                let NodeEntry { build, kind, zone, .. } = self.statuses[node].entry;
+                let failed = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::NoConnection);
+                if failed || outcome == Outcome::Ok {
+                    let took = took.as_secs_f64().max(if failed { ctx.config.min_soft_secs } else { 0.0 });
+                    let mean_secs = self
+                        .group_latency
+                        .entry((kind, zone))
+                        .or_insert(INITIAL_LATENCY_PART * ctx.config.min_soft_secs);
+                    *mean_secs += 0.1 * (took - *mean_secs);
                 }
-                if outcome == Outcome::Ok && cx.law.exposure.one_way {
-                    let left = self.gate.left.get(&rpc).copied();
-                    let sent =
-                        self.rpcs.get(&rpc).and_then(|r| Some((r.key?, r.picks.get(pick)?.entry.build)));
-                    left.or(sent).into_iter().for_each(|(key, sent)| self.gate.cross(key, sent.max(build)));
+                if outcome == Outcome::Ok && ctx.config.exposure.one_way {
+                    let left = self.send_rules.departed_keys.get(&rpc).copied();
+                    let sent = self
+                        .rpcs
+                        .get(&rpc)
+                        .and_then(|state| Some((state.key?, state.picks.get(pick)?.entry.build)));
+                    left.or(sent)
+                        .into_iter()
+                        .for_each(|(key, sent)| self.send_rules.record_key(key, sent.max(build)));
                 }
-                self.heed(rpc, outcome, took, cx);
-                if let Some(r) = self.rpcs.get_mut(&rpc) {
+                self.record_latency(rpc, outcome, took, ctx);
+                if let Some(state) = self.rpcs.get_mut(&rpc) {
                     if outcome == Outcome::Ok {
-                        self.usual[r.method] += 0.05 * (took.as_secs_f64() - self.usual[r.method]);
+                        self.method_latency[state.method] +=
+                            0.05 * (took.as_secs_f64() - self.method_latency[state.method]);
                     }
-                    if let Some(p) = r.picks.get_mut(pick) {
-                        (p.out, p.never_ran, p.erred) =
+                    if let Some(p) = state.picks.get_mut(pick) {
+                        (p.in_flight, p.never_ran, p.erred) =
                             (false, outcome.never_ran(), outcome == Outcome::Error);
                     }
-                    r.burnt |= build == self.newest;
+                    state.tried_newest |= build == self.newest;
                     if done {
-                        self.forget(rpc);
-                    } else if !r.streaming && r.picks.iter().all(|p| !p.out) {
-                        self.again(rpc, outcome.never_ran(), cx);
+                        self.remove(rpc);
+                    } else if !state.streaming && state.picks.iter().all(|p| !p.in_flight) {
+                        self.retry(rpc, outcome.never_ran(), ctx);
                     }
                 } else {
-                    self.gate.left.remove(&rpc);
+                    self.send_rules.departed_keys.remove(&rpc);
                 }
-                self.make_room(took, cx);
-                cx.put(DISPATCHER, Message::SendWaiting);
+                self.adjust_limit(took, ctx);
+                ctx.post(DISPATCHER, Message::SendWaiting);
             }
             Message::Event(Event::StreamBegun { rpc, .. }) => {
-                self.rpcs.entry(rpc).and_modify(|r| r.streaming = true);
+                self.rpcs.entry(rpc).and_modify(|state| state.streaming = true);
             }
             Message::Event(Event::ClientLeft { rpc }) => {
                 // Its pick may still be answered ok, and that build has then answered its key.
-                let out = self.rpcs.get(&rpc).and_then(|r| Some((r.key?, r.picks.iter().rfind(|p| p.out)?)));
-                self.gate.left.extend(out.map(|(key, pick)| (rpc, (key, pick.entry.build))));
-                self.forget(rpc);
+                let in_flight = self
+                    .rpcs
+                    .get(&rpc)
+                    .and_then(|state| Some((state.key?, state.picks.iter().rfind(|p| p.in_flight)?)));
+                self.send_rules
+                    .departed_keys
+                    .extend(in_flight.map(|(key, pick)| (rpc, (key, pick.entry.build))));
+                self.remove(rpc);
             }
             Message::Event(event) => {
-                if let Some((news, VoteReply::Unasked | VoteReply::Counts)) = RolloutStatus::read(cx, &event)
+                if let Some((rollout, VoteReply::Unasked | VoteReply::Counts)) =
+                    RolloutStatus::read(ctx, &event)
                 {
-                    self.gate.news = Some(news);
-                    if news.back() {
-                        self.gate.crossed.retain(|_, build| *build != news.build);
+                    self.send_rules.rollout = Some(rollout);
+                    if rollout.is_rolled_back() {
+                        self.send_rules.key_builds.retain(|_, build| *build != rollout.build);
                     }
                 }
             }
-            Message::Tick if cx.now >= self.counted + EVALUATION_INTERVAL => {
-                let power = (self.fleet[0] + self.fleet[1]).max(1.0);
-                let step = (cx.now - self.counted).as_secs_f64().min(OK_RATE_WINDOW_SECS);
+            Message::Tick if ctx.now >= self.rate_updated_at + EVALUATION_INTERVAL => {
+                let power = (self.fleet_capacity[0] + self.fleet_capacity[1]).max(1.0);
+                let step = (ctx.now - self.rate_updated_at).as_secs_f64().min(OK_RATE_WINDOW_SECS);
                 // If nothing could be sent, nothing was learned; otherwise a fleet of cold nodes only would
                 // stay blocked.
-                if self.out(cx) + self.oks > 0.0 || !std::mem::take(&mut self.barred) {
-                    self.gate.served +=
-                        step / OK_RATE_WINDOW_SECS * (self.oks / step / power - self.gate.served);
+                if self.occupied(ctx) + self.oks > 0.0 || !std::mem::take(&mut self.blocked) {
+                    self.send_rules.ok_rate_per_power += step / OK_RATE_WINDOW_SECS
+                        * (self.oks / step / power - self.send_rules.ok_rate_per_power);
                 }
-                (self.oks, self.counted, self.stale) = (0.0, cx.now, true);
-                let over = self.gate.news.is_some_and(|n| n.course == Course::Released);
-                if over && self.arms[0].is_empty() && self.gate.crossed.len() > MAX_RECORDED_KEYS {
-                    self.gate.crossed.clear(); // No earlier node is left that a key could return to.
+                (self.oks, self.rate_updated_at, self.lists_stale) = (0.0, ctx.now, true);
+                let released = self.send_rules.rollout.is_some_and(|n| n.course == Course::Released);
+                if released && self.arms[0].is_empty() && self.send_rules.key_builds.len() > MAX_RECORDED_KEYS
+                {
+                    self.send_rules.key_builds.clear(); // No earlier node is left that a key could return to.
                 }
-                self.pulse = self.pulse.map(|x| x * (1.0 - step / SUBSET_SIZING[2]));
-                self.pulse[1] += step;
-                self.ghosts.retain(|until| cx.now < *until);
-                let keep = cx.law.exposure.window.max(cx.law.fall_window) + 2 * EVALUATION_INTERVAL;
-                self.gate.forget(cx.now.saturating_sub(keep));
-                cx.put(DISPATCHER, Message::SendWaiting);
+                self.arrivals = self.arrivals.map(|x| x * (1.0 - step / SUBSET_SIZING[2]));
+                self.arrivals[1] += step;
+                self.abandoned.retain(|until| ctx.now < *until);
+                let horizon =
+                    ctx.config.exposure.window.max(ctx.config.slow_start_window) + 2 * EVALUATION_INTERVAL;
+                self.send_rules.prune(ctx.now.saturating_sub(horizon));
+                ctx.post(DISPATCHER, Message::SendWaiting);
             }
-            Message::Tick | Message::SendWaiting => self.pump(cx),
+            Message::Tick | Message::SendWaiting => self.send_waiting(ctx),
             _ => {}
         }
     }
 
     /// Gives up waiting RPCs without time left, and tries to send those that come first.
-    fn pump(&mut self, cx: &mut Context) {
+    fn send_waiting(&mut self, ctx: &mut Context) {
         // With an expired node list nothing is sent: waiting RPCs are refused at once.
-        let stale = !cx.lease.holds(cx.now);
-        let late = |r: &Rpc| stale || cx.now + secs(GIVE_UP_LATENCIES * self.usual[r.method]) > r.soft;
-        let hopeless = |w: &&(Duration, RpcIx)| self.rpcs.get(&w.1).is_some_and(late);
-        let lost: Vec<RpcIx> = self.waiting.iter().filter(hopeless).map(|w| w.1).collect();
-        lost.into_iter().for_each(|rpc| self.give_up(rpc, cx));
-        let first: Vec<RpcIx> = self.waiting.iter().take(3).map(|w| w.1).collect();
-        if first.into_iter().any(|rpc| self.send(rpc, cx)) {
-            cx.put(DISPATCHER, Message::SendWaiting);
+        let list_expired = !ctx.lease.is_valid(ctx.now);
+        let too_late = |r: &Rpc| {
+            list_expired
+                || ctx.now + secs(GIVE_UP_LATENCIES * self.method_latency[r.method]) > r.soft_deadline
+        };
+        let expired = |w: &&(Duration, RpcIx)| self.rpcs.get(&w.1).is_some_and(too_late);
+        let given_up: Vec<RpcIx> = self.waiting.iter().filter(expired).map(|w| w.1).collect();
+        given_up.into_iter().for_each(|rpc| self.reject(rpc, ctx));
+        let next: Vec<RpcIx> = self.waiting.iter().take(3).map(|w| w.1).collect();
+        if next.into_iter().any(|rpc| self.send(rpc, ctx)) {
+            ctx.post(DISPATCHER, Message::SendWaiting);
         }
     }
 
     /// Sends an RPC, or queues it if others wait or it cannot be sent now.
-    fn serve(&mut self, rpc: RpcIx, cx: &mut Context) {
-        if !self.waiting.is_empty() || !self.send(rpc, cx) {
-            self.barred = true;
+    fn send_or_queue(&mut self, rpc: RpcIx, ctx: &mut Context) {
+        if !self.waiting.is_empty() || !self.send(rpc, ctx) {
+            self.blocked = true;
             self.waiting.extend(self.rpcs.get(&rpc).map(|r| (r.rank, rpc)));
-            cx.put(DISPATCHER, Message::SendWaiting);
+            ctx.post(DISPATCHER, Message::SendWaiting);
         }
     }
 
     /// Answers an RPC without an answer of a node: pushed back if a client may safely retry, otherwise
     /// aborted.
-    fn give_up(&mut self, rpc: RpcIx, cx: &mut Context) {
-        let Some(r) = self.rpcs.get(&rpc) else { return };
-        let come_back = secs(2.0 * self.usual[r.method]);
-        let retry_after = cx.law.retry_after.map(|most| come_back.min(most));
-        let harmless = SendRules::may_push_back(cx, r);
-        cx.out.push(if harmless { Action::PushBack { rpc, retry_after } } else { Action::Abort { rpc } });
-        self.forget(rpc);
+    fn reject(&mut self, rpc: RpcIx, ctx: &mut Context) {
+        let Some(state) = self.rpcs.get(&rpc) else { return };
+        let wait = secs(2.0 * self.method_latency[state.method]);
+        let retry_after = ctx.config.retry_after.map(|most| wait.min(most));
+        let safe = SendRules::may_push_back(ctx, state);
+        ctx.actions.push(if safe { Action::PushBack { rpc, retry_after } } else { Action::Abort { rpc } });
+        self.remove(rpc);
     }
 
     /// Repeats an RPC after a failed pick, if there is time. Repeats of picks that may have been executed
     /// draw on the retry budget, so that failing nodes or an overload do not cause a retry storm.
-    fn again(&mut self, rpc: RpcIx, never_ran: bool, cx: &mut Context) {
-        let (r, spent) = (&self.rpcs[&rpc], if never_ran { 0.0 } else { 1.0 });
-        let bad = r.picks.iter().filter(|p| p.erred).count() >= BAD_RPC_ERRORS;
+    fn retry(&mut self, rpc: RpcIx, never_ran: bool, ctx: &mut Context) {
+        let (state, cost) = (&self.rpcs[&rpc], if never_ran { 0.0 } else { 1.0 });
+        let rpc_at_fault = state.picks.iter().filter(|p| p.erred).count() >= BAD_RPC_ERRORS;
         // The RPC gets errors everywhere, or no repeat can show whether it does: its error proves nothing
         // about node or build. Only first picks were recorded.
-        let doubted = bad || (self.retries < spent && cx.law.repeatable(r.method));
-        if let Some(&Pick { entry, at, .. }) = r.picks.first().filter(|p| p.erred && doubted) {
-            cx.put(CANARY_ANALYSIS, Message::ErrorExcused { entry, method: r.method, at });
+        let excused = rpc_at_fault || (self.retry_budget < cost && ctx.config.repeatable(state.method));
+        if let Some(&Pick { entry, sent_at, .. }) = state.picks.first().filter(|p| p.erred && excused) {
+            ctx.post(CANARY_ANALYSIS, Message::ErrorExcused { entry, method: state.method, at: sent_at });
         }
-        self.retries += f64::from(u8::from(bad));
-        let in_time = cx.now + secs(0.5 * self.usual[r.method]) < r.until && self.retries >= spent && !bad;
-        if in_time && self.cards.iter().any(|c| self.gate.may_repeat(cx, r, &c.entry)) {
-            self.retries -= spent;
-            self.serve(rpc, cx);
+        self.retry_budget += f64::from(u8::from(rpc_at_fault));
+        let in_time = ctx.now + secs(0.5 * self.method_latency[state.method]) < state.deadline
+            && self.retry_budget >= cost
+            && !rpc_at_fault;
+        if in_time && self.statuses.iter().any(|c| self.send_rules.may_repeat(ctx, state, &c.entry)) {
+            self.retry_budget -= cost;
+            self.send_or_queue(rpc, ctx);
         } else {
-            self.give_up(rpc, cx);
+            self.reject(rpc, ctx);
         }
     }
 }
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -19,65 +19,70 @@
 
 impl ListLease {
     /// Applies a new config.
-    pub fn renew(&mut self, rules: &RuleTerms) {
-        (self.terms, self.grace) = (rules.list_lease, rules.drain_grace);
+    pub fn configure(&mut self, rules: &RuleTerms) {
+        (self.terms, self.drain_grace) = (rules.list_lease, rules.drain_grace);
     }
 
     /// Whether the list's validity is bounded.
-    pub fn bounded(&self) -> bool {
+    pub fn is_bounded(&self) -> bool {
         self.terms.is_some()
     }
 
     /// Whether the list may be used for new work now.
-    pub fn holds(&self, now: Duration) -> bool {
-        let trusted = self.outage.is_some_and(|outage| now < outage.since + MAX_OUTAGE);
-        self.terms.is_none() || trusted || self.until.is_some_and(|until| now < until)
+    pub fn is_valid(&self, now: Duration) -> bool {
+        let in_outage = self.outage.is_some_and(|outage| now < outage.since + MAX_OUTAGE);
+        self.terms.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
     }
 
     /// Called with each event; the first one starts the lease as expired. How long the process was away, and
     /// what changed meanwhile, is unknown, so a list from before the start must be confirmed by discovery
     /// first.
-    pub fn begin(&mut self, now: Duration) {
-        if self.bounded() && self.until.is_none() {
-            self.until = Some(now);
+    pub fn start(&mut self, now: Duration) {
+        if self.is_bounded() && self.valid_until.is_none() {
+            self.valid_until = Some(now);
         }
     }
 
     /// Updates the lease by what a call to discovery revealed.
-    pub fn hear(&mut self, now: Duration, sign: DiscoverySign) {
-        let (Some(terms), Some(until)) = (self.terms, self.until) else { return };
-        let told = terms.told_within;
-        self.until = Some(match sign {
+    pub fn observe(&mut self, now: Duration, sign: DiscoverySign) {
+        let (Some(terms), Some(until)) = (self.terms, self.valid_until) else { return };
+        let delivery = terms.told_within;
+        self.valid_until = Some(match sign {
             DiscoverySign::Confirmed { as_of, .. } => {
                 self.outage = None;
-                self.end(as_of, told)
+                self.expiry(as_of, delivery)
             }
             DiscoverySign::WentDown => {
                 // An expired list does not become valid by that.
-                let held = now < until;
-                self.outage = self.outage.or(held.then_some(Outage { since: now, seen: now }));
-                if held {
-                    self.end(now, told)
+                let was_valid = now < until;
+                self.outage =
+                    self.outage.or(was_valid.then_some(Outage { since: now, last_failed_call: now }));
+                if was_valid {
+                    self.expiry(now, delivery)
                 } else {
                     until
                 }
             }
-            DiscoverySign::Unreachable => until.max(self.end(now, told)),
+            DiscoverySign::Unreachable => until.max(self.expiry(now, delivery)),
             DiscoverySign::RefusedLate { asked } => {
-                self.outage = self.outage.map(|outage| Outage { seen: outage.seen.max(asked), ..outage });
+                self.outage = self
+                    .outage
+                    .map(|outage| Outage { last_failed_call: outage.last_failed_call.max(asked), ..outage });
                 until
             }
             // Discovery may have been back since the last call that failed as in an outage.
-            DiscoverySign::Lives => self.outage.take().map_or(until, |outage| self.end(outage.seen, told)),
+            DiscoverySign::Lives => {
+                self.outage.take().map_or(until, |outage| self.expiry(outage.last_failed_call, delivery))
+            }
             DiscoverySign::Reloaded => {
                 self.outage = None;
-                until.min(self.end(now, terms.told_after_reload))
+                until.min(self.expiry(now, terms.told_after_reload))
             }
         });
     }
 
     /// End of a lease on a list known at `from`, when changes count as delivered after `told`.
-    fn end(&self, from: Duration, told: Duration) -> Duration {
-        (from + told + self.grace).saturating_sub(LEASE_MARGIN)
+    fn expiry(&self, from: Duration, delivery: Duration) -> Duration {
+        (from + delivery + self.drain_grace).saturating_sub(LEASE_MARGIN)
     }
 }
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -4,74 +4,78 @@
 
 impl Node {
     /// Handles one message, and publishes the node's status if it has changed.
-    pub fn act(&mut self, note: Message, cx: &mut Context) {
-        let shown = self.card;
-        match note {
+    pub fn handle(&mut self, message: Message, ctx: &mut Context) {
+        let published = self.status;
+        match message {
             Message::NodeListed(entry) => {
-                if (entry.started, entry.build) != (self.card.entry.started, self.card.entry.build) {
+                if (entry.started, entry.build) != (self.status.entry.started, self.status.entry.build) {
                     // A new process: the earlier one's history does not apply.
-                    let out = std::mem::take(&mut self.out);
-                    *self = Node { out, took: INITIAL_LATENCY_PART * cx.law.least_soft, ..Node::default() };
+                    let picks = std::mem::take(&mut self.picks);
+                    *self = Node {
+                        picks,
+                        latency_secs: INITIAL_LATENCY_PART * ctx.config.min_soft_secs,
+                        ..Node::default()
+                    };
                 }
-                (self.card.ready, self.card.entry) = (entry.readiness == Readiness::Ready, entry);
+                (self.status.ready, self.status.entry) = (entry.readiness == Readiness::Ready, entry);
             }
             Message::PickSent { rpc, pick, method } => {
-                self.out.push((rpc, pick, method, cx.now, self.card.entry))
+                self.picks.push((rpc, pick, method, ctx.now, self.status.entry))
             }
             Message::Event(Event::PickEnded { rpc, pick, outcome, took, .. }) => {
-                if let Some(i) = self.out.iter().position(|o| (o.0, o.1) == (rpc, pick)) {
-                    let ((.., method, at, entry), took) = (self.out.swap_remove(i), took.as_secs_f64());
+                if let Some(i) = self.picks.iter().position(|o| (o.0, o.1) == (rpc, pick)) {
+                    let ((.., method, at, entry), took) = (self.picks.swap_remove(i), took.as_secs_f64());
                     // A client that gives up early proves nothing about node or build.
-                    let early =
-                        outcome == Outcome::Timeout && took < CUT_SHORT_PART * cx.law.duties[method].soft;
-                    let outcome = if early { Outcome::Cancelled } else { outcome };
-                    self.learn(cx.now, outcome, took);
+                    let cut_short = outcome == Outcome::Timeout
+                        && took < CUT_SHORT_PART * ctx.config.methods[method].soft_secs;
+                    let outcome = if cut_short { Outcome::Cancelled } else { outcome };
+                    self.learn(ctx.now, outcome, took);
                     // Repeats are RPCs that failed elsewhere, so they are a biased sample of a build.
                     if pick == 0 {
-                        cx.put(CANARY_ANALYSIS, Message::PickEnded { entry, method, at, outcome, took });
+                        ctx.post(CANARY_ANALYSIS, Message::PickEnded { entry, method, at, outcome, took });
                     }
                 }
             }
             _ => {}
         }
         // Silent: the oldest pick is overdue, and nothing has come from the node since it was sent.
-        let soft = cx.law.least_soft;
-        let patience = secs((5.0 * self.took).clamp(0.3 * soft, 0.6 * soft));
-        let oldest = self.out.iter().map(|o| o.3).min();
-        let silent = oldest.is_some_and(|at| cx.now > at + patience && self.heard < at);
-        self.card.in_flight = self.out.len();
-        self.card.resting = silent || cx.now < self.rest_until;
-        self.card.gentle = self.rests > 0;
-        self.card.pace = self.took * (1.0 + 4.0 * self.ill);
-        if self.card != shown {
-            cx.show(self.card);
+        let soft_secs = ctx.config.min_soft_secs;
+        let silence_limit = secs((5.0 * self.latency_secs).clamp(0.3 * soft_secs, 0.6 * soft_secs));
+        let oldest = self.picks.iter().map(|o| o.3).min();
+        let silent = oldest.is_some_and(|at| ctx.now > at + silence_limit && self.last_response < at);
+        self.status.in_flight = self.picks.len();
+        self.status.ejected = silent || ctx.now < self.ejected_until;
+        self.status.on_probation = self.ejections > 0;
+        self.status.expected_secs = self.latency_secs * (1.0 + 4.0 * self.failure_score);
+        if self.status != published {
+            ctx.publish(self.status);
         }
-        cx.rouse(self.card.entry.node, !self.out.is_empty() || self.card.resting);
+        ctx.set_active(self.status.entry.node, !self.picks.is_empty() || self.status.ejected);
     }
 
     /// Outlier ejection by own outcomes: failures eject the node for growing periods, and then put it on
     /// probation. Guards against dead, silent and quickly failing nodes; once most nodes are ejected,
     /// dispatch ignores ejections.
     fn learn(&mut self, now: Duration, outcome: Outcome, took: f64) {
-        let failed = match outcome {
+        let failure = match outcome {
             Outcome::Ok => 0.0,
             Outcome::Error | Outcome::Garbled | Outcome::Timeout => 1.0,
             Outcome::Reset | Outcome::NoConnection => 3.0,
             Outcome::Full | Outcome::Cancelled | Outcome::Moot => return, // A full node is not failing.
         };
         if outcome != Outcome::Timeout {
-            self.heard = now;
+            self.last_response = now;
         }
-        self.ill += 0.2 * (failed - self.ill);
-        if failed > 0.0 && self.ill > 0.4 && now >= self.rest_until {
-            self.rest_until = now + secs(0.5 * f64::from(1 << self.rests.min(3)));
-            (self.rests, self.ill) = (self.rests + 1, 0.3);
-        } else if self.ill < 0.1 {
-            self.rests = 0;
+        self.failure_score += 0.2 * (failure - self.failure_score);
+        if failure > 0.0 && self.failure_score > 0.4 && now >= self.ejected_until {
+            self.ejected_until = now + secs(0.5 * f64::from(1 << self.ejections.min(3)));
+            (self.ejections, self.failure_score) = (self.ejections + 1, 0.3);
+        } else if self.failure_score < 0.1 {
+            self.ejections = 0;
         }
         if outcome == Outcome::Ok {
-            self.took += 0.15 * (took - self.took);
-            self.card.met = (self.card.met + 1.0).min(LATENCY_WEIGHTS[1]);
+            self.latency_secs += 0.15 * (took - self.latency_secs);
+            self.status.samples = (self.status.samples + 1.0).min(LATENCY_WEIGHTS[1]);
         }
     }
 }
--- a/crates/policy/src/policy/statistics.rs
+++ b/crates/policy/src/policy/statistics.rs
@@ -19,12 +19,12 @@
 }
 
 /// UCB index: mean + α·ε, with the design's σ² of 1/4. An arm short of the least sample comes first.
-pub fn index(t: Tally) -> f64 {
+pub fn ucb_index(t: Tally) -> f64 {
     t.mean() + if t.n < LEAST_SAMPLE { f64::INFINITY } else { ALPHA * width(t.n, 0.25, DELTA) }
 }
 
 /// Whether a pick sent at `at` does not count for payoff, as the node had just started.
-pub fn young(entry: &NodeEntry, at: Duration) -> bool {
+pub fn is_young(entry: &NodeEntry, at: Duration) -> bool {
     entry.started.is_some_and(|start| at < start + YOUNG_AGE)
 }
 
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -7,24 +7,24 @@
 /// The config as the decisions use it, derived from [`RolloutTerms`].
 pub struct Config {
     /// By method.
-    pub duties: Vec<MethodConfig>,
+    pub methods: Vec<MethodConfig>,
     /// The shortest soft deadline of all methods, in seconds.
-    pub least_soft: f64,
+    pub min_soft_secs: f64,
     pub exposure: ExposureConfig,
     /// Maximum picks per RPC.
     pub most_picks: usize,
     /// An RPC may have more than one pick in flight.
-    pub copies: bool,
+    pub second_copies: bool,
     /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
     pub retry_after: Option<Duration>,
     /// Part of its capacity that a node has right after its start.
-    pub cold_from: f64,
+    pub cold_start_part: f64,
     /// Time from a node's start to full capacity.
-    pub warming: Duration,
+    pub warm_up: Duration,
     /// The window over which the slow-start budget is counted.
-    pub fall_window: Duration,
+    pub slow_start_window: Duration,
     /// Slow-start budget of a window, in seconds of the node's expected rate of answers.
-    pub fall_budget: f64,
+    pub slow_start_secs: f64,
     /// Votes, not time, advance a rollout.
     pub by_votes: bool,
     /// Share of the fleet's places that run the new build, by stage.
@@ -35,37 +35,37 @@
     pub vote_wait: Duration,
     /// Seconds between one marshal's votes if all marshals vote at the full rate that the rollout controller
     /// accepts.
-    pub vote_gap: f64,
+    pub vote_gap_secs: f64,
     /// Votes needed to promote.
-    pub on_votes: f64,
+    pub promote_votes: f64,
     /// The most votes that can count at the same time: the rollout controller takes a burst of twice its
     /// rate.
-    pub standing: f64,
+    pub max_counted_votes: f64,
     /// The part of all marshals whose votes suffice to roll a build back.
-    pub back_part: f64,
+    pub rollback_part: f64,
     /// Marshals can send data to one another.
     pub peers: bool,
     /// The last stage, during which the earlier build's machines stay until the release; none where nodes are
     /// replaced in place.
-    pub rehearse: Option<usize>,
+    pub rehearsal_stage: Option<usize>,
     /// Number of node kinds.
     pub kinds: usize,
     /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
     /// Base pause in seconds between calls to discovery, spread over the marshals; none where discovery needs
     /// no calls.
-    pub ask_pause: Option<f64>,
+    pub call_pause_secs: Option<f64>,
     /// The longest time without a call to discovery while there is no subscription.
-    pub ask_within: Duration,
+    pub max_call_gap: Duration,
     pub seed: u64,
     /// This marshal's index as a part of all, from 0 to 1.
     pub phase: f64,
     /// Seconds for which an idle connection is kept.
-    pub kept: f64,
+    pub idle_kept_secs: f64,
     /// Number of marshals, at least 1.
     pub marshals: f64,
     /// The same as an integer.
-    pub crowd: usize,
+    pub marshal_count: usize,
     /// Index of this marshal.
     pub marshal: usize,
 }
@@ -75,11 +75,11 @@
     /// Whether its RPCs may be executed more than once.
     pub repeat: Repeat,
     /// Soft deadline in seconds.
-    pub soft: f64,
+    pub soft_secs: f64,
     /// Utility in relation to the mean of all methods.
-    pub worth: f64,
+    pub relative_utility: f64,
     /// Index of the exposure budget that counts this method.
-    pub slot: usize,
+    pub exposure_budget: usize,
 }
 
 /// Config of the exposure budget of a build on trial.
@@ -91,7 +91,7 @@
     /// Picks that the budget grants in each window regardless of traffic.
     pub free: f64,
     /// In stages below this one, only idempotent methods may be sent to the build on trial.
-    pub guarded: usize,
+    pub guarded_stages: usize,
     /// A key that the new build has answered is never sent to an earlier build.
     pub one_way: bool,
 }
@@ -102,60 +102,66 @@
         let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
         let mean = terms.methods.iter().map(|m| m.utility).sum::<f64>() / terms.methods.len() as f64;
         let marshals = terms.marshals.max(1) as f64;
-        let duty = |(i, m): (usize, &MethodTerms)| {
-            let (soft, worth) = (m.soft_deadline.as_secs_f64(), m.utility / mean);
-            MethodConfig { repeat: m.repeat, soft, worth, slot: if release.by_method { i } else { 0 } }
+        let method = |(i, m): (usize, &MethodTerms)| {
+            let (soft_secs, relative_utility) = (m.soft_deadline.as_secs_f64(), m.utility / mean);
+            MethodConfig {
+                repeat: m.repeat,
+                soft_secs,
+                relative_utility,
+                exposure_budget: if release.by_method { i } else { 0 },
+            }
         };
-        let duties: Vec<MethodConfig> = terms.methods.iter().enumerate().map(duty).collect();
+        let methods: Vec<MethodConfig> = terms.methods.iter().enumerate().map(method).collect();
         let (window, free, one_way) = (release.window, release.free, release.one_way);
-        let (first_cap, guarded) = (release.caps.first().copied().unwrap_or(0.0), release.guarded_stages);
+        let (first_cap, guarded_stages) =
+            (release.caps.first().copied().unwrap_or(0.0), release.guarded_stages);
         Config {
-            least_soft: duties.iter().map(|d| d.soft).fold(f64::INFINITY, f64::min),
-            duties,
-            exposure: ExposureConfig { first_cap, window, free, guarded, one_way },
+            min_soft_secs: methods.iter().map(|m| m.soft_secs).fold(f64::INFINITY, f64::min),
+            methods,
+            exposure: ExposureConfig { first_cap, window, free, guarded_stages, one_way },
             most_picks: limits.most_picks,
-            copies: limits.second_copies,
+            second_copies: limits.second_copies,
             retry_after: limits.retry_after,
-            cold_from: rules.cold_from,
-            warming: rules.warm_within,
-            fall_window: rules.fall_window,
-            fall_budget: rules.fall_multiple * rules.fall_window.as_secs_f64(),
+            cold_start_part: rules.cold_from,
+            warm_up: rules.warm_within,
+            slow_start_window: rules.fall_window,
+            slow_start_secs: rules.fall_multiple * rules.fall_window.as_secs_f64(),
             by_votes: release.control == Control::Votes,
             shares: release.shares.clone(),
             vote_life: release.vote_life,
             vote_wait: release.vote_wait,
-            vote_gap: marshals / release.vote_rate,
-            on_votes: release.on_votes as f64,
-            standing: release.vote_rate * (release.vote_life.as_secs_f64() + 2.0),
-            back_part: release.back_votes.max(1) as f64 / marshals,
+            vote_gap_secs: marshals / release.vote_rate,
+            promote_votes: release.on_votes as f64,
+            max_counted_votes: release.vote_rate * (release.vote_life.as_secs_f64() + 2.0),
+            rollback_part: release.back_votes.max(1) as f64 / marshals,
             peers: limits.peers,
-            rehearse: release.shares.len().checked_sub(1).filter(|_| !release.in_place),
+            rehearsal_stage: release.shares.len().checked_sub(1).filter(|_| !release.in_place),
             kinds: terms.kinds.max(1),
             warm_keys: terms.warm_keys,
-            ask_pause: terms.ask_discovery.then(|| 1.0 + terms.marshal as f64 / marshals),
-            ask_within: if rules.ask_within.is_zero() { Duration::MAX } else { rules.ask_within },
+            call_pause_secs: terms.ask_discovery.then(|| 1.0 + terms.marshal as f64 / marshals),
+            max_call_gap: if rules.ask_within.is_zero() { Duration::MAX } else { rules.ask_within },
             seed: terms.seed,
             phase: terms.marshal as f64 / marshals,
             marshals,
-            kept: limits.idle_kept.as_secs_f64(),
-            crowd: terms.marshals.max(1),
+            idle_kept_secs: limits.idle_kept.as_secs_f64(),
+            marshal_count: terms.marshals.max(1),
             marshal: terms.marshal,
         }
     }
 
     /// Whether an RPC of this method may be sent again after an error.
     pub fn repeatable(&self, method: usize) -> bool {
-        self.duties[method].repeat != Repeat::NonIdempotent
+        self.methods[method].repeat != Repeat::NonIdempotent
     }
 
     /// Whether a node of this age is fully warmed up and no longer bound by a slow-start budget.
-    pub fn warm(&self, age: Duration) -> bool {
-        age >= self.warming + self.fall_window
+    pub fn is_warm(&self, age: Duration) -> bool {
+        age >= self.warm_up + self.slow_start_window
     }
 
     /// The least part of its capacity that a node of this age has, growing linearly while it warms up.
-    pub fn present(&self, age: Duration) -> f64 {
-        let grown = age.as_secs_f64() / self.warming.as_secs_f64().max(0.001);
-        self.cold_from + (1.0 - self.cold_from) * grown.min(1.0)
+    pub fn capacity_part(&self, age: Duration) -> f64 {
+        let warmed = age.as_secs_f64() / self.warm_up.as_secs_f64().max(0.001);
+        self.cold_start_part + (1.0 - self.cold_start_part) * warmed.min(1.0)
     }
 }
--- a/crates/policy/src/state/discovery_client.rs
+++ b/crates/policy/src/state/discovery_client.rs
@@ -10,11 +10,11 @@
     /// The last result from discovery was an answer; false after a failure.
     pub subscribed: bool,
     /// The first call is scheduled.
-    pub begun: bool,
+    pub first_call_planned: bool,
     /// A call has been made.
-    pub called: bool,
+    pub call_made: bool,
     /// Earliest time of the next call.
-    pub ask_at: Duration,
+    pub next_call: Duration,
     /// Failures in a row.
     pub failures: u32,
     /// By when the watch has to give a sign of life; none where signs are not reported.
@@ -27,9 +27,9 @@
     /// None: the list is valid forever.
     pub terms: Option<ListLeaseTerms>,
     /// How long a node may still be sent to once it counts as announced to be draining.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// End of the lease; none before the first event.
-    pub until: Option<Duration>,
+    pub valid_until: Option<Duration>,
     /// The outage that discovery has announced, if any.
     pub outage: Option<Outage>,
 }
@@ -40,5 +40,5 @@
     /// When it was announced.
     pub since: Duration,
     /// When the last call was made that failed as calls do during an outage.
-    pub seen: Duration,
+    pub last_failed_call: Duration,
 }
--- a/crates/policy/src/state/memory.rs
+++ b/crates/policy/src/state/memory.rs
@@ -23,33 +23,39 @@
 }
 
 /// Bytes of all state of a marshal.
-pub fn reckon(nodes: &[Node], front: &Dispatcher, judge: &CanaryAnalysis) -> usize {
-    let gate = &front.gate;
-    let lists = || gate.taken.values().chain(gate.sent.values()).chain(gate.cold_sent.values());
+pub fn memory_bytes(nodes: &[Node], dispatcher: &Dispatcher, analysis: &CanaryAnalysis) -> usize {
+    let rules = &dispatcher.send_rules;
+    let lists = || rules.received.values().chain(rules.sent.values()).chain(rules.sent_by_node.values());
     let times =
         lists().map(|t| size_of::<Times>() + 2 * ENTRY_OVERHEAD_BYTES + t.capacity() * size_of::<Duration>());
-    let keys = (gate.crossed.len() + gate.left.len()) * (2 * size_of::<u64>() + ENTRY_OVERHEAD_BYTES);
+    let keys =
+        (rules.key_builds.len() + rules.departed_keys.len()) * (2 * size_of::<u64>() + ENTRY_OVERHEAD_BYTES);
     let rpc = size_of::<Rpc>() + 2 * size_of::<Pick>() + 3 * ENTRY_OVERHEAD_BYTES;
-    let ledgers = judge.bytes();
+    let evidence = analysis.bytes();
     let picks: usize = nodes
         .iter()
-        .map(|n| n.out.capacity() * size_of::<(RpcIx, usize, usize, Duration, NodeEntry)>())
+        .map(|n| n.picks.capacity() * size_of::<(RpcIx, usize, usize, Duration, NodeEntry)>())
         .sum();
     let own = size_of::<Context>() + size_of::<Dispatcher>() + size_of::<CanaryAnalysis>();
-    own + nodes.len() * node_bytes() + picks + front.rpcs.len() * rpc + times.sum::<usize>() + keys + ledgers
+    own + nodes.len() * node_bytes()
+        + picks
+        + dispatcher.rpcs.len() * rpc
+        + times.sum::<usize>()
+        + keys
+        + evidence
 }
 
 impl SendRules {
     /// Whether forgetting the recorded keys could break the one-way rule: a key that a build has answered
     /// could then be sent to an earlier build. Once that build is released and no earlier node is left, it
     /// cannot.
-    pub fn keys_open(&self, cx: &Context) -> bool {
-        let Some(newest) = self.crossed.values().max().filter(|_| cx.law.exposure.one_way) else {
+    pub fn needs_keys(&self, ctx: &Context) -> bool {
+        let Some(newest) = self.key_builds.values().max().filter(|_| ctx.config.exposure.one_way) else {
             return false;
         };
         // Builds before the one on trial were released earlier.
-        let released = self.news.is_some_and(|n| n.course == Course::Released || n.build > *newest);
-        let listed = || cx.listed.values().filter(|e| e.readiness != Readiness::Gone);
+        let released = self.rollout.is_some_and(|n| n.course == Course::Released || n.build > *newest);
+        let listed = || ctx.listed.values().filter(|e| e.readiness != Readiness::Gone);
         !released || listed().any(|e| e.build < *newest)
     }
 }
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -32,7 +32,7 @@
     /// To canary analysis: congestion in the last stage; the earlier build's nodes take traffic again.
     CongestionRelief,
     /// From canary analysis to dispatch: which arm comes first.
-    ArmOrder { newest: Build, new_first: bool, starved: bool },
+    ArmOrder { newest: Build, new_first: bool, abstaining: bool },
     /// To dispatch: try to send waiting RPCs.
     SendWaiting,
     /// The regular tick.
@@ -43,86 +43,86 @@
 pub struct Context {
     /// Time of the present call.
     pub now: Duration,
-    pub law: Config,
+    pub config: Config,
     /// Each node as last listed.
     pub listed: BTreeMap<NodeIx, NodeEntry>,
     /// Which part of all nodes that is.
     pub sight: Sight,
     /// Inboxes by component, see [`DISPATCHER`] to [`FIRST_NODE`].
-    pub boxes: Vec<VecDeque<Message>>,
+    pub inboxes: Vec<VecDeque<Message>>,
     /// Inboxes that are not empty.
-    pub full: BTreeSet<usize>,
+    pub nonempty: BTreeSet<usize>,
     /// Nodes with picks in flight, or ejected; only these get ticks.
-    pub awake: BTreeSet<NodeIx>,
+    pub active_nodes: BTreeSet<NodeIx>,
     /// Actions to return to the driver.
-    pub out: Vec<Action>,
+    pub actions: Vec<Action>,
     /// How long the node list may be used.
     pub lease: ListLease,
 }
 
 impl Context {
-    pub fn new(law: Config) -> Self {
-        let boxes = (0..FIRST_NODE).map(|_| VecDeque::new()).collect();
+    pub fn new(config: Config) -> Self {
+        let inboxes = (0..FIRST_NODE).map(|_| VecDeque::new()).collect();
         Context {
             now: Duration::ZERO,
-            law,
+            config,
             listed: BTreeMap::new(),
             sight: Sight::default(),
-            boxes,
-            full: BTreeSet::new(),
-            awake: BTreeSet::new(),
-            out: Vec::new(),
+            inboxes,
+            nonempty: BTreeSet::new(),
+            active_nodes: BTreeSet::new(),
+            actions: Vec::new(),
             lease: ListLease::default(),
         }
     }
     /// Removes the next message and names its inbox: nodes first, dispatch last.
-    pub fn next(&mut self) -> Option<(usize, Message)> {
-        let to = *self.full.last()?;
-        let note = self.boxes[to].pop_front();
-        if self.boxes[to].is_empty() {
-            self.full.remove(&to);
+    pub fn next_message(&mut self) -> Option<(usize, Message)> {
+        let to = *self.nonempty.last()?;
+        let message = self.inboxes[to].pop_front();
+        if self.inboxes[to].is_empty() {
+            self.nonempty.remove(&to);
         }
-        Some((to, note?))
+        Some((to, message?))
     }
     /// Appends a message to an inbox.
-    pub fn put(&mut self, to: usize, note: Message) {
-        self.boxes[to].push_back(note);
-        self.full.insert(to);
+    pub fn post(&mut self, to: usize, message: Message) {
+        self.inboxes[to].push_back(message);
+        self.nonempty.insert(to);
     }
     /// Publishes a node's status, to dispatch ahead of all other messages.
-    pub fn show(&mut self, card: NodeStatus) {
-        self.boxes[DISPATCHER].push_front(Message::NodeStatus(card));
-        self.full.insert(DISPATCHER);
-        self.put(CANARY_ANALYSIS, Message::NodeStatus(card));
+    pub fn publish(&mut self, status: NodeStatus) {
+        self.inboxes[DISPATCHER].push_front(Message::NodeStatus(status));
+        self.nonempty.insert(DISPATCHER);
+        self.post(CANARY_ANALYSIS, Message::NodeStatus(status));
     }
     /// Turns a node's ticks on or off. Idle nodes get none, so they cost nothing however large the fleet is.
-    pub fn rouse(&mut self, node: NodeIx, awake: bool) {
-        if awake {
-            self.awake.insert(node);
+    pub fn set_active(&mut self, node: NodeIx, active: bool) {
+        if active {
+            self.active_nodes.insert(node);
         } else {
-            self.awake.remove(&node);
+            self.active_nodes.remove(&node);
         }
     }
     /// Queues an event for the components that it concerns.
-    pub fn sort(&mut self, event: Event) {
+    pub fn route(&mut self, event: Event) {
         let to = match &event {
             Event::Nodes { scope, nodes } => {
                 // Nodes missing from a complete list are gone.
-                let whole = matches!(scope, Scope::Full | Scope::Cached);
-                let named: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
-                let left = |e: &&NodeEntry| whole && !named.contains(&e.node);
-                let listed = self.listed.values().filter(left);
+                let complete = matches!(scope, Scope::Full | Scope::Cached);
+                let entries_named: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
+                let missing = |e: &&NodeEntry| complete && !entries_named.contains(&e.node);
+                let listed = self.listed.values().filter(missing);
                 let gone = listed.map(|e| NodeEntry { readiness: Readiness::Gone, ..*e });
                 for entry in gone.chain(nodes.iter().copied()).collect::<Vec<_>>() {
-                    let boxes = self.boxes.len().max(FIRST_NODE + entry.node + 1);
-                    self.boxes.resize_with(boxes, VecDeque::new);
+                    let inboxes = self.inboxes.len().max(FIRST_NODE + entry.node + 1);
+                    self.inboxes.resize_with(inboxes, VecDeque::new);
                     self.listed.insert(entry.node, entry);
-                    self.put(FIRST_NODE + entry.node, Message::NodeListed(entry));
+                    self.post(FIRST_NODE + entry.node, Message::NodeListed(entry));
                 }
                 DISCOVERY_CLIENT
             }
             Event::Discovery(sign) => {
-                self.lease.hear(self.now, *sign);
+                self.lease.observe(self.now, *sign);
                 DISCOVERY_CLIENT
             }
             Event::Sight(sight) => {
@@ -130,17 +130,17 @@
                 return;
             }
             Event::PickEnded { node, .. } => {
-                self.put(FIRST_NODE + node, Message::Event(event.clone()));
+                self.post(FIRST_NODE + node, Message::Event(event.clone()));
                 DISPATCHER
             }
             Event::Stage { .. } => {
-                self.put(CANARY_ANALYSIS, Message::Event(event.clone()));
+                self.post(CANARY_ANALYSIS, Message::Event(event.clone()));
                 DISPATCHER
             }
             Event::Rpc { .. } | Event::StreamBegun { .. } | Event::ClientLeft { .. } => DISPATCHER,
             _ => CANARY_ANALYSIS,
         };
-        self.put(to, Message::Event(event));
+        self.post(to, Message::Event(event));
     }
     /// Time since the node's process started; a node without a start time is old.
     pub fn age(&self, entry: &NodeEntry) -> Duration {
@@ -157,13 +157,13 @@
     /// Own picks in flight.
     pub in_flight: usize,
     /// Expected latency of an RPC in seconds, raised for a failing node.
-    pub pace: f64,
+    pub expected_secs: f64,
     /// Number of answers behind `pace`, up to a limit.
-    pub met: f64,
+    pub samples: f64,
     /// Ejected for failures or silence.
-    pub resting: bool,
+    pub ejected: bool,
     /// On probation after an ejection.
-    pub gentle: bool,
+    pub on_probation: bool,
 }
 
 /// State of a rollout, as the controller reports it.
@@ -181,12 +181,12 @@
 
 impl RolloutStatus {
     /// Whether the build is being rolled back, or has been.
-    pub fn back(&self) -> bool {
+    pub fn is_rolled_back(&self) -> bool {
         matches!(self.course, Course::GoingBack | Course::Withdrawn)
     }
     /// Reads a stage event, with the reply to a vote that it carries.
-    pub fn read(cx: &Context, event: &Event) -> Option<(RolloutStatus, VoteReply)> {
+    pub fn read(ctx: &Context, event: &Event) -> Option<(RolloutStatus, VoteReply)> {
         let &Event::Stage { build, stage, course, reply, cap, age } = event else { return None };
-        Some((RolloutStatus { build, stage, course, cap, launched: cx.now.saturating_sub(age) }, reply))
+        Some((RolloutStatus { build, stage, course, cap, launched: ctx.now.saturating_sub(age) }, reply))
     }
 }
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -36,7 +36,7 @@
 pub type ArmPair = [Tally; 2];
 
 /// Adds `b` to `a`.
-pub fn join(a: &mut ArmPair, b: &ArmPair) {
+pub fn add_pair(a: &mut ArmPair, b: &ArmPair) {
     a.iter_mut().zip(b).for_each(|(a, b)| a.add(*b, 1.0));
 }
 
@@ -45,65 +45,66 @@
 #[derive(Clone, Copy, Default)]
 pub struct OutcomeStats {
     /// Ok answers within the soft deadline.
-    pub paid: Tally,
+    pub payoff: Tally,
     /// Answers without an error, and not reported as wrong.
-    pub sound: Tally,
+    pub soundness: Tally,
     /// Answers that could be read.
-    pub whole: Tally,
-    /// Ok answers by latency bin, see [`bin`].
-    pub times: [f64; 16],
+    pub readable: Tally,
+    /// Ok answers by latency bin, see [`latency_bin`].
+    pub latencies: [f64; 16],
 }
 
 impl OutcomeStats {
     pub const EMPTY: OutcomeStats = {
         let none = Tally { n: 0.0, good: 0.0 };
-        OutcomeStats { paid: none, sound: none, whole: none, times: [0.0; 16] }
+        OutcomeStats { payoff: none, soundness: none, readable: none, latencies: [0.0; 16] }
     };
     /// Adds `part` times other statistics.
     pub fn add(&mut self, other: &OutcomeStats, part: f64) {
-        self.paid.add(other.paid, part);
-        self.sound.add(other.sound, part);
-        self.whole.add(other.whole, part);
-        self.times.iter_mut().zip(other.times).for_each(|(a, b)| *a += part * b);
+        self.payoff.add(other.payoff, part);
+        self.soundness.add(other.soundness, part);
+        self.readable.add(other.readable, part);
+        self.latencies.iter_mut().zip(other.latencies).for_each(|(a, b)| *a += part * b);
     }
     /// Number of missed outcomes, of soundness and of payoff.
-    pub fn faults(&self) -> f64 {
-        self.sound.missed() + self.paid.missed()
+    pub fn misses(&self) -> f64 {
+        self.soundness.missed() + self.payoff.missed()
     }
     /// The bin by which the given part of the answers had come; none for fewer than `least` answers.
-    pub fn edge(&self, part: f64, least: f64) -> Option<usize> {
-        let (all, mut sum) = (self.times.iter().sum::<f64>(), 0.0);
+    pub fn quantile_bin(&self, part: f64, least: f64) -> Option<usize> {
+        let (all, mut sum) = (self.latencies.iter().sum::<f64>(), 0.0);
         let passed = |t: &f64| {
             sum += t;
             sum >= part * all
         };
-        self.times.iter().position(passed).filter(|_| all >= least)
+        self.latencies.iter().position(passed).filter(|_| all >= least)
     }
     /// Adds a latency to a histogram of about the latest `most` answers.
-    pub fn meet(&mut self, bin: usize, most: f64) {
-        if self.times.iter().sum::<f64>() > most {
+    pub fn add_latency(&mut self, bin: usize, most: f64) {
+        if self.latencies.iter().sum::<f64>() > most {
             self.halve();
         }
-        self.times[bin] += 1.0;
+        self.latencies[bin] += 1.0;
     }
     /// Answers up to a bin, out of all.
-    pub fn upto(&self, edge: usize) -> Tally {
-        Tally { n: self.times.iter().sum(), good: self.times[..=edge].iter().sum() }
+    pub fn up_to(&self, edge: usize) -> Tally {
+        Tally { n: self.latencies.iter().sum(), good: self.latencies[..=edge].iter().sum() }
     }
     /// Takes back an error that neither the node nor its build caused. `young`: it was not counted for
     /// payoff.
-    pub fn excuse(&mut self, young: bool) {
-        self.sound.n = (self.sound.n - 1.0).max(self.sound.good);
-        self.paid.n = if young { self.paid.n } else { (self.paid.n - 1.0).max(self.paid.good) };
+    pub fn remove_error(&mut self, young: bool) {
+        self.soundness.n = (self.soundness.n - 1.0).max(self.soundness.good);
+        self.payoff.n = if young { self.payoff.n } else { (self.payoff.n - 1.0).max(self.payoff.good) };
     }
     /// Clears payoff and latencies.
-    pub fn forget_lateness(&mut self) {
-        *self = OutcomeStats { sound: self.sound, whole: self.whole, ..OutcomeStats::default() };
+    pub fn clear_lateness(&mut self) {
+        *self =
+            OutcomeStats { soundness: self.soundness, readable: self.readable, ..OutcomeStats::default() };
     }
     /// Takes back an ok answer that a client reported as wrong.
-    pub fn dispute(&mut self) {
-        self.paid.good = (self.paid.good - 1.0).max(0.0);
-        self.sound.good = (self.sound.good - 1.0).max(0.0);
+    pub fn remove_disputed(&mut self) {
+        self.payoff.good = (self.payoff.good - 1.0).max(0.0);
+        self.soundness.good = (self.soundness.good - 1.0).max(0.0);
     }
     /// Halves all counts (exponential decay).
     pub fn halve(&mut self) {
@@ -114,7 +115,7 @@
 
 /// The bin of a latency, given as a part of the soft deadline. Bins grow by half powers of two; the last but
 /// two ends at the soft deadline.
-pub fn bin(part: f64) -> usize {
+pub fn latency_bin(part: f64) -> usize {
     (part.max(1e-9).log2() * 2.0 + 13.0).clamp(0.0, 15.0) as usize
 }
 
@@ -123,16 +124,16 @@
 struct MethodStats {
     method: usize,
     slot: usize,
-    ledger: OutcomeStats,
+    stats: OutcomeStats,
 }
 
-/// StatsTable over a node's methods, cached until one changes.
+/// Sums over a node's methods, cached until one changes.
 #[derive(Clone, Copy)]
 struct StatsTotals {
     /// Number of missed outcomes, of soundness and of payoff.
-    faults: f64,
+    misses: f64,
     /// Soundness and payoff of all methods.
-    sums: ArmPair,
+    soundness_and_payoff: ArmPair,
     /// The node has had outcomes.
     used: bool,
 }
@@ -156,106 +157,106 @@
     /// Listed as ready.
     pub ready: bool,
     /// Ejected or on probation.
-    pub ill: bool,
+    pub failing: bool,
     /// In ascending order of methods, the order of all sums.
-    lines: Vec<MethodStats>,
-    brief: Cell<Option<StatsTotals>>,
-    touched: RefCell<Changes>,
+    methods: Vec<MethodStats>,
+    totals: Cell<Option<StatsTotals>>,
+    changes: RefCell<Changes>,
 }
 
 impl NodeRecord {
     /// Whether this is the record of the process that the entry names, not of an earlier or later one with
     /// the same index.
-    pub fn is(&self, entry: &NodeEntry) -> bool {
+    pub fn is_of(&self, entry: &NodeEntry) -> bool {
         (self.entry.build, self.entry.started) == (entry.build, entry.started)
     }
     /// The index of a method's statistics, or where to insert them.
     fn find(&self, method: usize) -> Result<usize, usize> {
-        self.lines.binary_search_by_key(&method, |l| l.method)
+        self.methods.binary_search_by_key(&method, |l| l.method)
     }
     /// A method's statistics, created if there are none.
-    pub fn at(&mut self, method: usize, slot: usize) -> &mut OutcomeStats {
+    pub fn stats_or_insert(&mut self, method: usize, slot: usize) -> &mut OutcomeStats {
         let at = self.find(method).unwrap_or_else(|at| {
             // These entries are large, so capacity grows by a quarter rather than doubling.
-            if self.lines.len() == self.lines.capacity() {
-                self.lines.reserve_exact(4.max(self.lines.len() / 4));
+            if self.methods.len() == self.methods.capacity() {
+                self.methods.reserve_exact(4.max(self.methods.len() / 4));
             }
-            self.lines.insert(at, MethodStats { method, slot, ledger: OutcomeStats::EMPTY });
+            self.methods.insert(at, MethodStats { method, slot, stats: OutcomeStats::EMPTY });
             at
         });
-        self.touch(at)
+        self.mark_changed(at)
     }
     /// A method's statistics, if there are any. For corrections, which need no new entry.
-    pub fn known(&mut self, method: usize) -> Option<&mut OutcomeStats> {
-        self.find(method).ok().map(|at| self.touch(at))
+    pub fn stats_if_any(&mut self, method: usize) -> Option<&mut OutcomeStats> {
+        self.find(method).ok().map(|at| self.mark_changed(at))
     }
     /// Marks an entry as changed and returns its statistics.
-    fn touch(&mut self, at: usize) -> &mut OutcomeStats {
-        let line = &mut self.lines[at];
-        self.brief.set(None);
-        if let Changes::Listed(lines) = self.touched.get_mut() {
-            lines.push((line.method, line.slot));
-            if lines.len() > MAX_LISTED_CHANGES {
-                *self.touched.get_mut() = Changes::All;
+    fn mark_changed(&mut self, at: usize) -> &mut OutcomeStats {
+        let entry = &mut self.methods[at];
+        self.totals.set(None);
+        if let Changes::Listed(listed) = self.changes.get_mut() {
+            listed.push((entry.method, entry.slot));
+            if listed.len() > MAX_LISTED_CHANGES {
+                *self.changes.get_mut() = Changes::All;
             }
         }
-        &mut line.ledger
+        &mut entry.stats
     }
     /// Marks everything as changed.
-    pub fn touch_all(&mut self) {
-        self.brief.set(None);
-        *self.touched.get_mut() = Changes::All;
+    pub fn mark_all_changed(&mut self) {
+        self.totals.set(None);
+        *self.changes.get_mut() = Changes::All;
     }
     /// Returns and resets what has changed since the last call.
-    pub fn touched(&self) -> Changes {
-        self.touched.replace(Changes::Listed(Vec::new()))
+    pub fn take_changes(&self) -> Changes {
+        self.changes.replace(Changes::Listed(Vec::new()))
     }
     /// All statistics, marked as changed.
-    pub fn ledgers(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
-        self.touch_all();
-        self.lines.iter_mut().map(|l| &mut l.ledger)
+    pub fn all_stats(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
+        self.mark_all_changed();
+        self.methods.iter_mut().map(|l| &mut l.stats)
     }
     /// Removes all statistics, for a new process or a record that no longer applies.
     pub fn clear(&mut self) {
-        self.touch_all();
-        self.lines = Vec::new();
+        self.mark_all_changed();
+        self.methods = Vec::new();
     }
     /// The sums over all methods, from the cache if nothing has changed.
-    fn brief(&self) -> StatsTotals {
-        let brief = self.brief.get().unwrap_or_else(|| {
-            let (mut faults, mut sums, mut used) = (0.0, ArmPair::default(), false);
-            for MethodStats { ledger, .. } in &self.lines {
-                faults += ledger.faults();
-                join(&mut sums, &[ledger.sound, ledger.paid]);
-                used |= ledger.sound.n + ledger.paid.n > 0.0;
+    fn totals(&self) -> StatsTotals {
+        let totals = self.totals.get().unwrap_or_else(|| {
+            let (mut misses, mut soundness_and_payoff, mut used) = (0.0, ArmPair::default(), false);
+            for MethodStats { stats, .. } in &self.methods {
+                misses += stats.misses();
+                add_pair(&mut soundness_and_payoff, &[stats.soundness, stats.payoff]);
+                used |= stats.soundness.n + stats.payoff.n > 0.0;
             }
-            StatsTotals { faults, sums, used }
+            StatsTotals { misses, soundness_and_payoff, used }
         });
-        self.brief.set(Some(brief));
-        brief
+        self.totals.set(Some(totals));
+        totals
     }
     /// Number of missed outcomes over all methods, of soundness and of payoff.
-    pub fn faults(&self) -> f64 {
-        self.brief().faults
+    pub fn misses(&self) -> f64 {
+        self.totals().misses
     }
     /// Soundness and payoff of all methods.
-    pub fn sums(&self) -> ArmPair {
-        self.brief().sums
+    pub fn soundness_and_payoff(&self) -> ArmPair {
+        self.totals().soundness_and_payoff
     }
     /// Whether the node has had outcomes.
     pub fn used(&self) -> bool {
-        self.brief().used
+        self.totals().used
     }
     /// Adds all methods to a table.
     pub fn add_to(&self, sums: &mut StatsTable) {
-        self.lines.iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.ledger));
+        self.methods.iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.stats));
     }
     /// Adds one method to a table.
-    pub fn add_one(&self, method: usize, sums: &mut StatsTable) {
-        let line = self.find(method).ok().map(|at| &self.lines[at]);
-        line.into_iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.ledger));
+    pub fn add_method(&self, method: usize, sums: &mut StatsTable) {
+        let entry = self.find(method).ok().map(|at| &self.methods[at]);
+        entry.into_iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.stats));
     }
     pub fn bytes(&self) -> usize {
-        self.lines.capacity() * size_of::<MethodStats>()
+        self.methods.capacity() * size_of::<MethodStats>()
     }
 }
--- a/crates/policy/src/state/peer_counts.rs
+++ b/crates/policy/src/state/peer_counts.rs
@@ -9,7 +9,7 @@
 /// Encodes counts for peers as u16 words: the build, then whether this marshal abstains from it and the
 /// level, then four counts per question. Large counts are scaled down together. Losing or repeating a message
 /// does no harm.
-pub fn write_pairs(build: Build, abstains: bool, level: u32, pairs: &[ArmPair]) -> Vec<u8> {
+pub fn encode_counts(build: Build, abstains: bool, level: u32, pairs: &[ArmPair]) -> Vec<u8> {
     let counts = || pairs.iter().flatten().flat_map(|t| [t.n, t.good]);
     let scale = (65535.0 / counts().fold(1.0, f64::max)).min(1.0);
     let head = [build as u16, u16::from(abstains) + 2 * level as u16];
@@ -18,7 +18,7 @@
 }
 
 /// Decodes the build, whether the sender abstains from it, the level, and the pairs.
-pub fn read_pairs(text: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
+pub fn decode_counts(text: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
     let words: Vec<u16> = text.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
     let [build, head, counts @ ..] = &words[..] else { return None };
     let tally = |n: u16, good: u16| Tally { n: n.into(), good: good.min(n).into() };
@@ -28,13 +28,13 @@
 
 /// Number of marshals in a ring, and number of levels, for nested rings that cover all marshals: as few
 /// levels as let each marshal send to few others.
-pub fn rings(law: &Config, most: usize) -> (usize, u32) {
-    let levels = ((law.marshals.ln() / (most as f64).ln()).ceil()).max(1.0);
-    ((law.marshals.powf(1.0 / levels) + 1e-6) as usize, levels as u32)
+pub fn ring_layout(config: &Config, most: usize) -> (usize, u32) {
+    let levels = ((config.marshals.ln() / (most as f64).ln()).ceil()).max(1.0);
+    ((config.marshals.powf(1.0 / levels) + 1e-6) as usize, levels as u32)
 }
 
 /// Describes a question with the counts of both arms, for the log: new arm first, good outcomes of all.
-pub fn beside(question: usize, [new, old]: &ArmPair) -> String {
+pub fn describe_pair(question: usize, [new, old]: &ArmPair) -> String {
     let (n, o) = ((new.good, new.n), (old.good, old.n));
     format!(", question {question}: {:.0}/{:.0} beside {:.0}/{:.0}", n.0, n.1, o.0, o.1)
 }
--- a/crates/policy/src/state/stats_table.rs
+++ b/crates/policy/src/state/stats_table.rs
@@ -29,10 +29,10 @@
     }
     /// Statistics of two arms, by kind, then by method, the order of all sums. Each item holds the method's
     /// index among those observed, the method, and the entries of both arms.
-    pub fn cells<'a>(
+    pub fn entries<'a>(
         &'a self, a: &'a StatsTable, b: &'a StatsTable,
     ) -> impl Iterator<Item = (usize, usize, &'a OutcomeStats, &'a OutcomeStats)> + 'a {
-        let kinds = a.of.len().max(b.of.len());
+        let kinds = a.by_kind.len().max(b.by_kind.len());
         let row = move |kind| {
             self.iter()
                 .enumerate()
@@ -42,7 +42,7 @@
     }
     /// For each question over the observed methods, its index over all `known` methods: payoff, soundness by
     /// method, pace, corrupt answers, slowdown by method.
-    pub fn places(&self, known: usize) -> impl Iterator<Item = usize> + '_ {
+    pub fn question_indices(&self, known: usize) -> impl Iterator<Item = usize> + '_ {
         let by_method = |from: usize| self.iter().map(move |(method, _)| from + method);
         [0].into_iter().chain(by_method(1)).chain([known + 1, known + 2]).chain(by_method(known + 3))
     }
@@ -54,7 +54,7 @@
 /// Statistics by node kind and by slot of the observed methods.
 #[derive(Clone, Default)]
 pub struct StatsTable {
-    of: Vec<Vec<OutcomeStats>>,
+    by_kind: Vec<Vec<OutcomeStats>>,
     /// Incremented by each change; at 0 nothing has been added.
     version: u64,
 }
@@ -63,44 +63,44 @@
     /// The entry of a kind and slot; an empty one where nothing was added.
     pub fn get(&self, kind: usize, slot: usize) -> &OutcomeStats {
         const EMPTY: &OutcomeStats = &OutcomeStats::EMPTY;
-        self.of.get(kind).and_then(|of| of.get(slot)).unwrap_or(EMPTY)
+        self.by_kind.get(kind).and_then(|by_slot| by_slot.get(slot)).unwrap_or(EMPTY)
     }
     /// Adds to the entry of a kind and slot.
-    pub fn add(&mut self, kind: usize, slot: usize, ledger: &OutcomeStats) {
+    pub fn add(&mut self, kind: usize, slot: usize, stats: &OutcomeStats) {
         self.version += 1;
-        if self.of.len() <= kind {
-            self.of.resize_with(kind + 1, Vec::new);
+        if self.by_kind.len() <= kind {
+            self.by_kind.resize_with(kind + 1, Vec::new);
         }
-        let of = &mut self.of[kind];
-        if of.len() <= slot {
-            of.resize(slot + 1, OutcomeStats::EMPTY);
+        let by_slot = &mut self.by_kind[kind];
+        if by_slot.len() <= slot {
+            by_slot.resize(slot + 1, OutcomeStats::EMPTY);
         }
-        of[slot].add(ledger, 1.0);
+        by_slot[slot].add(stats, 1.0);
     }
     pub fn iter(&self) -> impl Iterator<Item = &OutcomeStats> {
-        self.of.iter().flatten()
+        self.by_kind.iter().flatten()
     }
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
         self.version += 1;
-        self.of.iter_mut().flatten()
+        self.by_kind.iter_mut().flatten()
     }
     /// Removes all entries.
     pub fn clear(&mut self) {
-        *self = StatsTable { of: Vec::new(), version: self.version + 1 };
+        *self = StatsTable { by_kind: Vec::new(), version: self.version + 1 };
     }
     /// Removes the entries of kinds that are no longer configured.
-    pub fn limit(&mut self, kinds: usize) {
+    pub fn truncate_kinds(&mut self, kinds: usize) {
         self.version += 1;
-        self.of.truncate(kinds);
+        self.by_kind.truncate(kinds);
     }
     /// Copies one method's entries from another table.
-    fn copy(&mut self, slot: usize, other: &StatsTable) {
-        for (kind, of) in self.of.iter_mut().enumerate() {
-            of.get_mut(slot).into_iter().for_each(|ledger| *ledger = *other.get(kind, slot));
+    fn copy_slot(&mut self, slot: usize, other: &StatsTable) {
+        for (kind, by_slot) in self.by_kind.iter_mut().enumerate() {
+            by_slot.get_mut(slot).into_iter().for_each(|stats| *stats = *other.get(kind, slot));
         }
     }
     pub fn bytes(&self) -> usize {
-        self.of.iter().map(|of| of.capacity() * size_of::<OutcomeStats>()).sum()
+        self.by_kind.iter().map(|by_slot| by_slot.capacity() * size_of::<OutcomeStats>()).sum()
     }
 }
 
@@ -118,29 +118,29 @@
 
 impl ArmStats {
     /// Brings the sums up to date with the base table and the given nodes.
-    pub fn sum(&mut self, base: Option<&StatsTable>, books: &[&NodeRecord]) {
-        let nothing = StatsTable::default();
-        let base = base.unwrap_or(&nothing);
-        let same = self.nodes.iter().copied().eq(books.iter().map(|b| b.entry.node));
-        let mut touched = Some(Vec::new()).filter(|_| same && self.base == Some(base.version));
-        for book in books {
-            match (book.touched(), &mut touched) {
-                (Changes::Listed(lines), Some(touched)) => touched.extend(lines),
-                _ => touched = None,
+    pub fn sum(&mut self, base: Option<&StatsTable>, records: &[&NodeRecord]) {
+        let empty = StatsTable::default();
+        let base = base.unwrap_or(&empty);
+        let same_nodes = self.nodes.iter().copied().eq(records.iter().map(|b| b.entry.node));
+        let mut changed = Some(Vec::new()).filter(|_| same_nodes && self.base == Some(base.version));
+        for record in records {
+            match (record.take_changes(), &mut changed) {
+                (Changes::Listed(listed), Some(changed)) => changed.extend(listed),
+                _ => changed = None,
             }
         }
-        if let Some(mut touched) = touched {
-            touched.sort_unstable();
-            touched.dedup();
-            for (method, slot) in touched {
-                self.sums.copy(slot, base);
-                books.iter().for_each(|book| book.add_one(method, &mut self.sums));
+        if let Some(mut changed) = changed {
+            changed.sort_unstable();
+            changed.dedup();
+            for (method, slot) in changed {
+                self.sums.copy_slot(slot, base);
+                records.iter().for_each(|record| record.add_method(method, &mut self.sums));
             }
             return;
         }
         self.sums = base.clone();
-        books.iter().for_each(|book| book.add_to(&mut self.sums));
-        (self.nodes, self.base) = (books.iter().map(|b| b.entry.node).collect(), Some(base.version));
+        records.iter().for_each(|record| record.add_to(&mut self.sums));
+        (self.nodes, self.base) = (records.iter().map(|b| b.entry.node).collect(), Some(base.version));
     }
     pub fn bytes(&self) -> usize {
         self.sums.bytes() + self.nodes.capacity() * size_of::<NodeIx>()
--- a/crates/policy/src/state/util.rs
+++ b/crates/policy/src/state/util.rs
@@ -11,7 +11,7 @@
 pub type Times = VecDeque<Duration>;
 
 /// Counts the timestamps within the last `window`.
-pub fn recent(times: Option<&Times>, now: Duration, window: Duration) -> f64 {
+pub fn count_recent(times: Option<&Times>, now: Duration, window: Duration) -> f64 {
     times.map_or(0, |t| t.iter().rev().take_while(|&&at| at + window > now).count()) as f64
 }
 
@@ -25,15 +25,15 @@
 }
 
 /// Pseudorandom number: the hash of a seed and a counter.
-pub fn chance(seed: u64, draw: u64) -> u64 {
+pub fn random_u64(seed: u64, draw: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (seed, draw).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Pseudorandom number between 0 and 1.
-pub fn lot(seed: u64, draw: u64) -> f64 {
-    chance(seed, draw) as f64 / u64::MAX as f64
+pub fn random_unit(seed: u64, draw: u64) -> f64 {
+    random_u64(seed, draw) as f64 / u64::MAX as f64
 }
 
 /// Duration of `n` milliseconds.
