--- a/crates/policy/src/marshal.rs
+++ b/crates/policy/src/marshal.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::policy::{EVALUATION_INTERVAL, INITIAL_LATENCY_PART, MAX_RING_SIZE, RETRY_BUDGET, TICK};
+use crate::policy::{EVALUATION_INTERVAL, INITIAL_LATENCY_PART, MAX_RING_SIZE, MIN_RETRY_BUDGET, TICK};
 use crate::port::*;
 use crate::state::*;
 
@@ -27,7 +27,7 @@
         let dispatcher = Dispatcher {
             method_latency,
             new_first: true,
-            retry_budget: RETRY_BUDGET[2],
+            retry_budget: MIN_RETRY_BUDGET,
             concurrency_limit: f64::MAX,
             ..Dispatcher::default()
         };
--- a/crates/policy/src/policy/canary_analysis.rs
+++ b/crates/policy/src/policy/canary_analysis.rs
@@ -4,8 +4,10 @@
 
 /// Interval at which all records are halved.
 pub const HALVE: Duration = ms(5000);
-/// Interval at which counts are sent to peers, and the age beyond which received ones are ignored.
-const PEER_COUNTS_TIMES: [Duration; 2] = [ms(1000), ms(3200)];
+/// Interval at which counts are sent to peers.
+const PEER_COUNTS_INTERVAL: Duration = ms(1000);
+/// Age from which on received counts are ignored.
+const PEER_COUNTS_MAX_AGE: Duration = ms(3200);
 /// A node counts as failing on its own beyond this multiple of its arm's error rate.
 const OUTLIER_MULTIPLE: f64 = 2.0;
 
@@ -206,7 +208,7 @@
         // A vote rests on own evidence, the controller's counts, and recent counts of peers. At level k a
         // marshal sends the sums over the ring^k marshals up to itself to ring - 1 others, so that each
         // marshal is counted once.
-        let due = ctx.now >= self.counts_sent_at + PEER_COUNTS_TIMES[0]
+        let due = ctx.now >= self.counts_sent_at + PEER_COUNTS_INTERVAL
             || abstaining != std::mem::replace(&mut self.sent_abstaining, abstaining);
         let send_counts = due && self.sends_counts(&ctx.config);
         for level in 0..self.levels {
@@ -219,7 +221,7 @@
                 ctx.actions.extend(to.map(|to| Action::Tell { to, text: text.clone() }));
             }
             for (at, build, counts) in self.peer_counts.range((level, 0)..(level + 1, 0)).map(|h| h.1) {
-                if *build == self.newest && ctx.now < *at + PEER_COUNTS_TIMES[1] {
+                if *build == self.newest && ctx.now < *at + PEER_COUNTS_MAX_AGE {
                     self.add_peer_counts(&mut pairs, counts);
                 }
             }
--- a/crates/policy/src/policy/congestion.rs
+++ b/crates/policy/src/policy/congestion.rs
@@ -3,13 +3,19 @@
 use super::*;
 
 /// An RPC with less time left than its soft deadline is sent with a probability: the square of this multiple
-/// of the part of recent picks that were answered in such time, and never below the second figure, or nothing
-/// would be learned.
-const SHORT_SEND: [f64; 2] = [2.0, 0.05];
-/// The fleet is congested when even this part of recent answers, the quickest, took this part of their soft
-/// deadline or longer (queues delay all alike; far zones and failing nodes delay only some). Then: the number
-/// of recent answers considered, and the part of answers that counts for clients' repeats.
-const CONGESTION: [f64; 4] = [0.25, 0.25, 24.0, 0.5];
+/// of the part of recent picks that were answered in such time.
+const SHORT_SEND_MULTIPLE: f64 = 2.0;
+/// Least probability of that, or nothing would be learned.
+const MIN_SHORT_SEND_PROBABILITY: f64 = 0.05;
+/// The fleet is congested when even the quickest answers, this part of recent ones, are slow: queues delay all
+/// alike; far zones and failing nodes delay only some.
+const CONGESTED_PART: f64 = 0.25;
+/// An answer is slow from this part of its soft deadline on.
+const SLOW_DEADLINE_PART: f64 = 0.25;
+/// Number of recent answers that are considered.
+const RECENT_ANSWERS: f64 = 24.0;
+/// The part of recent answers that takes the place of [`CONGESTED_PART`] for clients' repeats.
+const CONGESTED_PART_FOR_REPEATS: f64 = 0.5;
 /// In the last stage, the earlier build's nodes take traffic for this long after the concurrency limit was
 /// last cut, while a backlog drains.
 const RELIEF_PERIOD: Duration = ms(6000);
@@ -33,9 +39,9 @@
             }
             _ => return,
         };
-        self.pick_latencies.add_latency(bin, CONGESTION[2] / 2.0);
+        self.pick_latencies.add_latency(bin, RECENT_ANSWERS / 2.0);
         if soft_part > CUT_SHORT_PART || matches!(outcome, Outcome::Ok | Outcome::Full) {
-            self.latencies.add_latency(bin, CONGESTION[2]);
+            self.latencies.add_latency(bin, RECENT_ANSWERS);
         }
     }
 
@@ -48,14 +54,15 @@
             self.pick_latencies.up_to(latency_bin(left)),
             random_unit(ctx.config.seed, ctx.now.as_nanos() as u64),
         );
-        let send_probability = (SHORT_SEND[0] * answered.mean()).powi(2).max(SHORT_SEND[1]);
+        let send_probability =
+            (SHORT_SEND_MULTIPLE * answered.mean()).powi(2).max(MIN_SHORT_SEND_PROBABILITY);
         let congested = self
             .latencies
-            .quantile_bin(CONGESTION[3], CONGESTION[2] / 6.0)
-            .is_some_and(|e| e >= latency_bin(CONGESTION[1]));
+            .quantile_bin(CONGESTED_PART_FOR_REPEATS, RECENT_ANSWERS / 6.0)
+            .is_some_and(|e| e >= latency_bin(SLOW_DEADLINE_PART));
         // A client's retry is a repeat like one of ours, and draws on the same retry budget.
         let affordable = !repeated || !congested || self.retry_budget >= 1.0;
-        let shed = left < 1.0 && answered.n >= CONGESTION[2] / 6.0 && draw > send_probability;
+        let shed = left < 1.0 && answered.n >= RECENT_ANSWERS / 6.0 && draw > send_probability;
         self.retry_budget -= f64::from(u8::from(repeated && congested && affordable && !shed));
         shed || !affordable
     }
@@ -66,8 +73,8 @@
     pub fn adjust_limit(&mut self, took: Duration, ctx: &mut Context) {
         let congested = self
             .latencies
-            .quantile_bin(CONGESTION[0], CONGESTION[2] / 3.0)
-            .is_some_and(|e| e >= latency_bin(CONGESTION[1]));
+            .quantile_bin(CONGESTED_PART, RECENT_ANSWERS / 3.0)
+            .is_some_and(|e| e >= latency_bin(SLOW_DEADLINE_PART));
         if congested && ctx.now > self.limit_cut_at + took {
             if self.last_stage(ctx) {
                 self.relief_until = ctx.now + RELIEF_PERIOD;
--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -21,10 +21,11 @@
 /// s.
 const LATER_RETRY_SECS: [f64; 2] = [0.5, 4.0];
 
-/// Retries where calls are not queued: the first within this many pauses, each later one within this multiple
-/// of the one before. Drawn between half and all of that: marshals that started together were also refused
-/// together.
-const UNQUEUED_RETRY: [f64; 2] = [0.4, 2.0];
+/// Where calls are not queued, the first retry is made within this many pauses. The delay is drawn between half
+/// and all of that: marshals that started together were also refused together.
+const UNQUEUED_RETRY_PAUSES: f64 = 0.4;
+/// Growth of that delay with each further failure.
+const UNQUEUED_RETRY_GROWTH: f64 = 2.0;
 /// Failures in a row up to which that delay grows.
 const MAX_BACKOFF_FAILURES: u32 = 3;
 
@@ -81,7 +82,7 @@
         }
         let part = 0.5 + 0.5 * random_unit(ctx.config.seed, ctx.now.as_nanos() as u64);
         let doubled = self.failures.min(MAX_BACKOFF_FAILURES) as i32 - 1;
-        Self::limited_delay(UNQUEUED_RETRY[0] * pause * UNQUEUED_RETRY[1].powi(doubled) * part, ctx)
+        Self::limited_delay(UNQUEUED_RETRY_PAUSES * pause * UNQUEUED_RETRY_GROWTH.powi(doubled) * part, ctx)
     }
 
     /// Whether no call has been made and no node is known from before, so that there is nothing to serve with
--- a/crates/policy/src/policy/dispatcher.rs
+++ b/crates/policy/src/policy/dispatcher.rs
@@ -31,9 +31,10 @@
                 self.send_rules.received.entry(method).or_default().push_back(ctx.now);
                 self.arrivals[0] += 1.0;
                 let max_budget =
-                    RETRY_BUDGET[0] * RETRY_BUDGET[1] * self.arrivals[0] / self.arrivals[1].max(1.0);
-                self.retry_budget += if repeated { 0.0 } else { RETRY_BUDGET[0] };
-                self.retry_budget = self.retry_budget.min(max_budget.clamp(RETRY_BUDGET[2], RETRY_BUDGET[3]));
+                    RETRY_GAIN_PER_RPC * RETRY_BUDGET_SECS * self.arrivals[0] / self.arrivals[1].max(1.0);
+                self.retry_budget += if repeated { 0.0 } else { RETRY_GAIN_PER_RPC };
+                self.retry_budget =
+                    self.retry_budget.min(max_budget.clamp(MIN_RETRY_BUDGET, MAX_RETRY_BUDGET));
                 let shed = self.should_shed(left.as_secs_f64() / method_config.soft_secs, repeated, ctx);
                 let (soft_deadline, deadline) =
                     (ctx.now + secs(method_config.soft_secs).min(left), ctx.now + left);
@@ -137,7 +138,7 @@
                 {
                     self.send_rules.key_builds.clear(); // No earlier node is left that a key could return to.
                 }
-                self.arrivals = self.arrivals.map(|x| x * (1.0 - step / SUBSET_SIZING[2]));
+                self.arrivals = self.arrivals.map(|x| x * (1.0 - step / ARRIVAL_WINDOW_SECS));
                 self.arrivals[1] += step;
                 self.abandoned.retain(|until| ctx.now < *until);
                 let horizon =
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -30,19 +30,28 @@
 /// The most marshals that exchange counts directly. Also the number of marshals that log their votes: more
 /// logs would repeat the same.
 pub const MAX_RING_SIZE: usize = 8;
-/// Retry budget for picks that may have been executed: the gain per received RPC, the seconds of gain that it
-/// holds, and the bounds of its size.
-pub const RETRY_BUDGET: [f64; 4] = [0.2, 4.0, 2.0, 20.0];
+/// Retry budget for picks that may have been executed: the gain in picks per received RPC.
+pub const RETRY_GAIN_PER_RPC: f64 = 0.2;
+/// The gain of this many seconds is the size of the retry budget.
+pub const RETRY_BUDGET_SECS: f64 = 4.0;
+/// Least size of the retry budget, in picks.
+pub const MIN_RETRY_BUDGET: f64 = 2.0;
+/// Largest size of the retry budget, in picks.
+pub const MAX_RETRY_BUDGET: f64 = 20.0;
 /// Assumed latency before the first answer, as a part of the soft deadline.
 pub const INITIAL_LATENCY_PART: f64 = 1.0 / 6.0;
 /// A pick that times out before this part of the soft deadline was cut short by its client.
 const CUT_SHORT_PART: f64 = 0.5;
-/// The weight, in answers, of the mean of kind and zone in a node's expected latency, and the limit of the
-/// node's own weight.
-const LATENCY_WEIGHTS: [f64; 2] = [6.0, 12.0];
-/// Subset size: each node used gets this many picks while an idle connection is kept; the least number of
-/// nodes; seconds over which the rate of RPCs is averaged.
-const SUBSET_SIZING: [f64; 3] = [20.0, 6.0, 10.0];
+/// Weight of the mean of kind and zone in a node's expected latency, in answers.
+const GROUP_LATENCY_WEIGHT: f64 = 6.0;
+/// Largest weight of the node's own mean in its expected latency, in answers.
+const MAX_NODE_LATENCY_WEIGHT: f64 = 12.0;
+/// Subset size: each node used gets this many picks while an idle connection is kept.
+const PICKS_PER_IDLE_TIME: f64 = 20.0;
+/// Least subset size in nodes.
+const MIN_SUBSET_NODES: f64 = 6.0;
+/// Seconds over which the rate of RPCs is averaged.
+const ARRIVAL_WINDOW_SECS: f64 = 10.0;
 /// Interval at which payoff is halved in addition: the older arm's must not come from a calmer time than the
 /// new build's.
 const PAYOFF_HALVING_INTERVAL: Duration = ms(2000);
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -75,7 +75,7 @@
         }
         if outcome == Outcome::Ok {
             self.latency_secs += 0.15 * (took - self.latency_secs);
-            self.status.samples = (self.status.samples + 1.0).min(LATENCY_WEIGHTS[1]);
+            self.status.samples = (self.status.samples + 1.0).min(MAX_NODE_LATENCY_WEIGHT);
         }
     }
 }
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Limit of an arm's picks as a multiple of its share of the ready nodes, and the most picks of credit or
-/// debt that an arm can have.
-const SHARE_LIMIT: [f64; 2] = [1.1, 3.0];
+/// Limit of an arm's picks as a multiple of its share of the ready nodes.
+const MAX_SHARE_MULTIPLE: f64 = 1.1;
+/// Most picks of credit or debt that an arm can have.
+const MAX_CREDIT_PICKS: f64 = 3.0;
 /// A key's preferred node is used unless the cost of another is below this part of its cost.
 const AFFINITY_COST_PART: f64 = 0.75;
 
@@ -14,8 +15,8 @@
     fn expected_latency(&self, status: &NodeStatus, ctx: &Context) -> f64 {
         let group_secs = self.group_latency.get(&(status.entry.kind, status.entry.zone));
         let group_secs = group_secs.copied().unwrap_or(INITIAL_LATENCY_PART * ctx.config.min_soft_secs);
-        (LATENCY_WEIGHTS[0] * group_secs + status.samples * status.expected_secs)
-            / (LATENCY_WEIGHTS[0] + status.samples)
+        (GROUP_LATENCY_WEIGHT * group_secs + status.samples * status.expected_secs)
+            / (GROUP_LATENCY_WEIGHT + status.samples)
             / ctx.config.capacity_part(ctx.age(&status.entry))
     }
 
@@ -33,10 +34,10 @@
         // A build that gets no traffic accrues no credit: many marshals would spend it all at once.
         let share = if self.abstaining { 0.0 } else { new / whole.max(1e-9) };
         let subset_size = (self.arrivals[0] / self.arrivals[1].max(1.0) * ctx.config.idle_kept_secs
-            / SUBSET_SIZING[0])
-            .max(SUBSET_SIZING[1]);
+            / PICKS_PER_IDLE_TIME)
+            .max(MIN_SUBSET_NODES);
         let mostly_ejected = 5 * self.ejected >= 4 * all;
-        let gain = [SHARE_LIMIT[0] * (1.0 - share), SHARE_LIMIT[0] * share];
+        let gain = [MAX_SHARE_MULTIPLE * (1.0 - share), MAX_SHARE_MULTIPLE * share];
         let within = [self.credit[0] + gain[0] >= 1.0, self.credit[1] + gain[1] >= 1.0 && !self.abstaining];
         // Repeats try the older arm first.
         let first = usize::from(self.new_first && !state.tried_newest && !self.abstaining);
@@ -113,7 +114,7 @@
         let Some(state) = self.rpcs.get_mut(&rpc) else { return false };
         self.waiting.remove(&(state.rank, rpc));
         self.send_rules.record_send(ctx, state.method, &entry);
-        let max_credit = SHARE_LIMIT[1];
+        let max_credit = MAX_CREDIT_PICKS;
         self.credit = [0, 1].map(|i| (self.credit[i] + gain[i]).clamp(-max_credit, max_credit));
         self.credit[arm] -= 1.0;
         // A first pick that may be repeated leaves time for a second; at a slow node, waiting is better.
