--- a/crates/policy/src/policy/abstention_test.rs
+++ b/crates/policy/src/policy/abstention_test.rs
@@ -80,7 +80,8 @@
                 self.without_build.fill(Tally::default());
             }
             (Some(since), _) if now >= since + ABSTENTION => {
-                // A recovery must make up for 40 % of the loss: other causes recover on their own, but by less.
+                // A recovery must make up for 40 % of the loss: other causes recover on their own, but by
+                // less.
                 let test_recovered =
                     recovered && without.mean() > with.mean() + 0.4 * (QUICK_PART - with.mean());
                 self.recovered_at = test_recovered.then_some(now);
--- a/crates/policy/src/policy/canary_analysis.rs
+++ b/crates/policy/src/policy/canary_analysis.rs
@@ -157,8 +157,9 @@
         released || 4 * self.ready_nodes(false) < self.ready_nodes(true)
     }
 
-    /// Collects the evidence of this marshal as a pair per question (payoff, soundness by method, pace,
-    /// corrupt answers, slowdown by method), and the number of nodes on trial.
+    /// Collects the evidence of this marshal as a pair per question, and the number of nodes on trial. The
+    /// questions are payoff, soundness by method, pace (answers that are quick for the older arm), corrupt
+    /// answers, and slowdown of the older arm by method.
     fn own_evidence(&mut self, ctx: &Context) -> (Vec<ArmPair>, usize) {
         let (nodes, no_older_arm) = (self.sum_arm(true, false, false), self.lacks_older_arm());
         if !no_older_arm {
--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -17,12 +17,12 @@
 /// The first retry after a failure is made after a random number of seconds in this range.
 const FIRST_RETRY_SECS: [f64; 2] = [0.5, 2.9];
 
-/// Range in seconds of each later retry: at 2 s in the queue, each marshal of a fleet makes a call every 4.25
-/// s.
+/// Range in seconds of each later retry: with 2 s in the queue, each marshal of a fleet makes one call per
+/// 4.25 s.
 const LATER_RETRY_SECS: [f64; 2] = [0.5, 4.0];
 
-/// Where calls are not queued, the first retry is made within this many pauses. The delay is drawn between half
-/// and all of that: marshals that started together were also refused together.
+/// Where calls are not queued, the first retry is made within this many pauses. The delay is drawn between
+/// half and all of that: marshals that started together were also refused together.
 const UNQUEUED_RETRY_PAUSES: f64 = 0.4;
 /// Growth of that delay with each further failure.
 const UNQUEUED_RETRY_GROWTH: f64 = 2.0;
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -81,7 +81,8 @@
         });
     }
 
-    /// End of a lease on a list known at `from`, when changes count as delivered after `told`.
+    /// End of a lease on a list known at `from`, when changes count as delivered after
+    /// `delivery`.
     fn expiry(&self, from: Duration, delivery: Duration) -> Duration {
         (from + delivery + self.drain_grace).saturating_sub(LEASE_MARGIN)
     }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -32,7 +32,7 @@
 pub const MAX_RING_SIZE: usize = 8;
 /// Retry budget for picks that may have been executed: the gain in picks per received RPC.
 pub const RETRY_GAIN_PER_RPC: f64 = 0.2;
-/// The gain of this many seconds is the size of the retry budget.
+/// Size of the retry budget: the gain of this many seconds.
 pub const RETRY_BUDGET_SECS: f64 = 4.0;
 /// Least size of the retry budget, in picks.
 pub const MIN_RETRY_BUDGET: f64 = 2.0;
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -118,12 +118,12 @@
         self.credit = [0, 1].map(|i| (self.credit[i] + gain[i]).clamp(-max_credit, max_credit));
         self.credit[arm] -= 1.0;
         // A first pick that may be repeated leaves time for a second; at a slow node, waiting is better.
-        let (left, method_config) =
+        let (left, method_params) =
             (state.deadline.saturating_sub(ctx.now), &ctx.config.methods[state.method]);
         let first_wait =
-            (0.6 * method_config.soft_secs).max(4.0 * self.method_latency[state.method].max(expected_secs));
-        let may_retry = method_config.repeat != Repeat::NonIdempotent && self.retry_budget >= 1.0;
-        let limit_wait = may_retry && state.picks.is_empty() && first_wait < 0.8 * method_config.soft_secs;
+            (0.6 * method_params.soft_secs).max(4.0 * self.method_latency[state.method].max(expected_secs));
+        let may_retry = method_params.repeat != Repeat::NonIdempotent && self.retry_budget >= 1.0;
+        let limit_wait = may_retry && state.picks.is_empty() && first_wait < 0.8 * method_params.soft_secs;
         let within = if limit_wait { secs(first_wait).min(left) } else { left };
         state.picks.push(Pick { entry, sent_at: ctx.now, in_flight: true, never_ran: false, erred: false });
         let (node, pick, method) = (entry.node, state.picks.len() - 1, state.method);
--- a/crates/policy/src/policy/send_rules.rs
+++ b/crates/policy/src/policy/send_rules.rs
@@ -49,7 +49,7 @@
 
     /// Rule 5: whether the exposure budget and the one-way rule allow the node's build.
     fn within_exposure(&self, ctx: &Context, rpc: &Rpc, entry: &NodeEntry) -> bool {
-        let (method_config, rule) = (&ctx.config.methods[rpc.method], &ctx.config.exposure);
+        let (method_params, rule) = (&ctx.config.methods[rpc.method], &ctx.config.exposure);
         let key_build = rpc.key.and_then(|key| self.key_builds.get(&key));
         if !self.rollout.is_some_and(|n| n.is_rolled_back())
             && key_build.is_some_and(|&build| entry.build < build)
@@ -57,11 +57,11 @@
             return false;
         }
         let Some((stage, cap)) = self.trial(ctx, entry.build) else { return true };
-        if cap <= 0.0 || (stage < rule.guarded_stages && method_config.repeat != Repeat::Idempotent) {
+        if cap <= 0.0 || (stage < rule.guarded_stages && method_params.repeat != Repeat::Idempotent) {
             return false;
         }
         let spans = [rule.window + TICK, rule.window.saturating_sub(TICK)];
-        let [used, received] = self.exposure_use(ctx, entry.build, method_config.exposure_budget, spans);
+        let [used, received] = self.exposure_use(ctx, entry.build, method_params.exposure_budget, spans);
         used + 1.0 <= self.free_picks(ctx) + cap * received
     }
 
--- a/crates/policy/src/port.rs
+++ b/crates/policy/src/port.rs
@@ -54,9 +54,9 @@
 /// Config of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantTerms {
-    /// Guaranteed rate in RPCs/s, summed over all marshals.
+    /// Rate in RPCs/s up to which the tenant is within its share, summed over all marshals.
     pub quota: f64,
-    /// The tenant's share of the capacity.
+    /// The tenant's share, from 0 to 1.
     pub share: f64,
 }
 
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -7,10 +7,10 @@
 /// The config as the decisions use it, derived from [`RolloutTerms`].
 pub struct Config {
     /// By method.
-    pub methods: Vec<MethodConfig>,
+    pub methods: Vec<MethodParams>,
     /// The shortest soft deadline of all methods, in seconds.
     pub min_soft_secs: f64,
-    pub exposure: ExposureConfig,
+    pub exposure: ExposureParams,
     /// Maximum picks per RPC.
     pub most_picks: usize,
     /// An RPC may have more than one pick in flight.
@@ -70,8 +70,8 @@
     pub marshal: usize,
 }
 
-/// Config of one method.
-pub struct MethodConfig {
+/// Parameters of one method.
+pub struct MethodParams {
     /// Whether its RPCs may be executed more than once.
     pub repeat: Repeat,
     /// Soft deadline in seconds.
@@ -82,8 +82,8 @@
     pub exposure_budget: usize,
 }
 
-/// Config of the exposure budget of a build on trial.
-pub struct ExposureConfig {
+/// Parameters of the exposure budget of a build on trial.
+pub struct ExposureParams {
     /// Exposure cap in stage 0.
     pub first_cap: f64,
     /// The window over which exposure is counted.
@@ -104,21 +104,21 @@
         let marshals = terms.marshals.max(1) as f64;
         let method = |(i, m): (usize, &MethodTerms)| {
             let (soft_secs, relative_utility) = (m.soft_deadline.as_secs_f64(), m.utility / mean);
-            MethodConfig {
+            MethodParams {
                 repeat: m.repeat,
                 soft_secs,
                 relative_utility,
                 exposure_budget: if release.by_method { i } else { 0 },
             }
         };
-        let methods: Vec<MethodConfig> = terms.methods.iter().enumerate().map(method).collect();
+        let methods: Vec<MethodParams> = terms.methods.iter().enumerate().map(method).collect();
         let (window, free, one_way) = (release.window, release.free, release.one_way);
         let (first_cap, guarded_stages) =
             (release.caps.first().copied().unwrap_or(0.0), release.guarded_stages);
         Config {
             min_soft_secs: methods.iter().map(|m| m.soft_secs).fold(f64::INFINITY, f64::min),
             methods,
-            exposure: ExposureConfig { first_cap, window, free, guarded_stages, one_way },
+            exposure: ExposureParams { first_cap, window, free, guarded_stages, one_way },
             most_picks: limits.most_picks,
             second_copies: limits.second_copies,
             retry_after: limits.retry_after,
--- a/crates/policy/src/state/dispatcher.rs
+++ b/crates/policy/src/state/dispatcher.rs
@@ -46,7 +46,8 @@
     pub picks: Vec<(RpcIx, usize, usize, Duration, NodeEntry)>,
     /// When the node last answered or failed other than by a timeout.
     pub last_response: Duration,
-    /// Moving average of failures; 0 is healthy, a timeout or an error weighs 1, a lost connection 3.
+    /// Moving average of failures: 0 is healthy; a timeout, an error or a corrupt answer weighs 1, a lost or
+    /// refused connection 3.
     pub failure_score: f64,
     /// Ejections in a row; above 0 the node is on probation.
     pub ejections: u32,
@@ -155,7 +156,8 @@
     pub send_rules: SendRules,
     /// Status of all nodes, by node index.
     pub statuses: Vec<NodeStatus>,
-    /// The ready nodes of the older arm and of the newest build, cold nodes first; rebuilt when `stale`.
+    /// The ready nodes of the older arm and of the newest build, cold nodes first; rebuilt when
+    /// `lists_stale`.
     pub arms: [Vec<NodeIx>; 2],
     /// The lists and sums over nodes have to be rebuilt.
     pub lists_stale: bool,
@@ -163,7 +165,7 @@
     pub capacity: [f64; 2],
     /// The same for all listed nodes, extrapolated where this marshal is told of a part only.
     pub fleet_capacity: [f64; 2],
-    /// The capacity in `weights` that is on cold nodes.
+    /// The part of `capacity` that is on cold nodes.
     pub cold_capacity: [f64; 2],
     /// Number of cold nodes at the head of each list in `arms`.
     pub cold_nodes: [usize; 2],
@@ -189,7 +191,7 @@
     pub retry_budget: f64,
     /// Moving average of the latency of ok answers by method, in seconds.
     pub method_latency: Vec<f64>,
-    /// Ok answers since `counted`.
+    /// Ok answers since `rate_updated_at`.
     pub oks: f64,
     /// When the rate of ok answers was last updated.
     pub rate_updated_at: Duration,
@@ -218,7 +220,8 @@
 }
 
 impl Dispatcher {
-    /// Stores a node's status, and marks the lists as stale if it changed in what they rest on.
+    /// Stores a node's status, and marks the lists as stale if the node, its readiness or its ejection
+    /// changed.
     pub fn update_status(&mut self, status: NodeStatus) {
         self.statuses.resize(self.statuses.len().max(status.entry.node + 1), NodeStatus::default());
         let old = std::mem::replace(&mut self.statuses[status.entry.node], status);
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -39,7 +39,8 @@
     Tick,
 }
 
-/// What every component is given: the time, the config, the node list, the inboxes and the actions to return.
+/// What every component is given: the time, the config, the node list, the inboxes and the actions to
+/// return.
 pub struct Context {
     /// Time of the present call.
     pub now: Duration,
@@ -158,7 +159,7 @@
     pub in_flight: usize,
     /// Expected latency of an RPC in seconds, raised for a failing node.
     pub expected_secs: f64,
-    /// Number of answers behind `pace`, up to a limit.
+    /// Number of answers behind `expected_secs`, up to a limit.
     pub samples: f64,
     /// Ejected for failures or silence.
     pub ejected: bool,
