--- a/crates/policy/src/policy/congestion.rs
+++ b/crates/policy/src/policy/congestion.rs
@@ -7,8 +7,8 @@
 const SHORT_SEND_MULTIPLE: f64 = 2.0;
 /// Least probability of that, or nothing would be learned.
 const MIN_SHORT_SEND_PROBABILITY: f64 = 0.05;
-/// The fleet is congested when even the quickest answers, this part of recent ones, are slow: queues delay all
-/// alike; far zones and failing nodes delay only some.
+/// The fleet is congested when even the quickest answers, this part of recent ones, are slow: queues delay
+/// all alike; far zones and failing nodes delay only some.
 const CONGESTED_PART: f64 = 0.25;
 /// An answer is slow from this part of its soft deadline on.
 const SLOW_DEADLINE_PART: f64 = 0.25;
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -7,8 +7,9 @@
 /// A stage's machines count as running this long after its launch at the latest.
 const STAGE_RUNNING_WITHIN: Duration = ms(9000);
 /// Outcomes that the rollout controller, where it counts them, must have counted before a vote to promote,
-/// since the list named the last of the build's machines; and the longest wait for that.
+/// since the list named the last of the build's machines.
 const MIN_COUNTED_OUTCOMES: f64 = 30.0;
+/// Longest wait for these outcomes.
 const MAX_PROMOTE_WAIT: Duration = ms(10_000);
 /// How much worse the new arm must be: in payoff (by the design), in soundness, in pace (plus a term for few
 /// machines).
--- a/crates/policy/src/port.rs
+++ b/crates/policy/src/port.rs
@@ -73,8 +73,9 @@
 #[derive(Clone, Debug)]
 pub struct ReleaseTerms {
     pub control: Control,
-    /// Votes needed to promote and to roll back.
+    /// Votes needed to promote.
     pub on_votes: usize,
+    /// Votes needed to roll back.
     pub back_votes: usize,
     /// Share of the fleet's places that run the new build, by stage.
     pub shares: Vec<f64>,
@@ -155,6 +156,7 @@
 /// The complete config of a marshal.
 #[derive(Clone, Debug)]
 pub struct RolloutTerms {
+    /// Seed of all pseudorandom draws.
     pub seed: u64,
     /// Index of this marshal among all.
     pub marshal: usize,
@@ -327,7 +329,9 @@
 /// Load figures that a node reports, where conveyed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
+    /// RPCs in progress.
     pub in_flight: Option<f64>,
+    /// RPCs in the queue.
     pub queue: Option<f64>,
     /// Utilization.
     pub busy: Option<f64>,
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -57,6 +57,7 @@
     pub call_pause_secs: Option<f64>,
     /// The longest time without a call to discovery while there is no subscription.
     pub max_call_gap: Duration,
+    /// Seed of all pseudorandom draws.
     pub seed: u64,
     /// This marshal's index as a part of all, from 0 to 1.
     pub phase: f64,
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -160,7 +160,9 @@
     pub failing: bool,
     /// In ascending order of methods, the order of all sums.
     methods: Vec<MethodStats>,
+    /// Cached sums over `methods`.
     totals: Cell<Option<StatsTotals>>,
+    /// Methods changed since the last sum over the arm.
     changes: RefCell<Changes>,
 }
 
