--- a/crates/marshal/src/admission.rs
+++ b/crates/marshal/src/admission.rs
@@ -1,20 +1,21 @@
-//! What is true at the moment of a send: whether a node may have new work, and whether one that was sent came too late.
+//! Checks at the moment of a send: whether a node may receive new work, and whether a send began too late.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::Core;
 
-/// Why a pick that was decided is not sent after all.
+/// Why a pick is not sent although it was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// Discovery has said since that the node drains or is gone.
+    /// Discovery has since reported the node as draining or removed.
     Withdrawn,
-    /// Discovery has not confirmed the list for too long.
+    /// Discovery has not confirmed the node list for too long.
     StaleList,
 }
 
 impl Withheld {
+    /// The reason in log lines.
     pub fn word(self) -> &'static str {
         match self {
             Withheld::Withdrawn => "the node drains or is gone",
@@ -24,15 +25,15 @@
 }
 
 impl Core {
-    /// The list is confirmed, or its life is not bounded.
+    /// Whether the node list is still valid: confirmed recently enough, or without a validity limit.
     pub(crate) fn list_holds(&self, now: Duration) -> bool {
         self.policy.list_holds(now)
     }
 
-    /// Whether new work may go to this node now.
+    /// Checks whether new work may be sent to a node.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why not.
     pub fn may_send(&self, now: Duration, node: SocketAddr) -> Result<(), Withheld> {
         if !self.list_holds(now) {
             return Err(Withheld::StaleList);
@@ -43,7 +44,8 @@
         Ok(())
     }
 
-    /// How long after the grace a send of this time began, where it broke the rule on drains.
+    /// How long after the drain grace period a send that began at `begun` came; `None` where it kept the
+    /// drain rule.
     pub fn late_send(&self, begun: Duration, node: SocketAddr) -> Option<Duration> {
         let told = self.directory.withdrawn_at(node)?;
         begun.checked_sub(told + self.terms.rollout.rules.drain_grace).filter(|late| !late.is_zero())
--- a/crates/marshal/src/desk.rs
+++ b/crates/marshal/src/desk.rs
@@ -1,5 +1,6 @@
-//! What the desk says, as events for the module. It says it on several connections, that of the news and one for each
-//! vote, so what was said earlier may be read later: of one build's standings the later one holds.
+//! Converts messages of the rollout controller into events for the policy. They arrive on several connections
+//! (the update stream and one for each vote), so an older message may be read after a newer one; the newer
+//! status of a build wins.
 
 use std::time::Duration;
 
@@ -8,11 +9,12 @@
 
 use crate::{Ballot, Core};
 
-/// What is behind on a build's course and began no more than this later may have been on its way for so long: an
-/// answer is waited for less than that. A desk that was really set back tells a standing that began later.
+/// A status that is behind in a build's rollout and began no more than this later may merely have been
+/// delayed: replies are awaited for less than this. A controller that was really reset reports a status that
+/// began later.
 const WAY: Duration = Duration::from_secs(2);
 
-/// The latest standing that the desk has told.
+/// The latest rollout status from the controller.
 #[derive(Default)]
 pub(crate) struct Standing(Option<Told>);
 
@@ -23,7 +25,8 @@
 }
 
 impl Told {
-    /// How far a build has come: its stages, its release, the way back.
+    /// Position of the status in a build's rollout, for comparison: trial stages, release, rollback,
+    /// withdrawal.
     fn course(&self) -> (u32, u32, u32) {
         let at = match self.stage.course {
             desk::Course::OnTrial => 0,
@@ -36,9 +39,9 @@
 }
 
 impl Standing {
-    /// Takes what was read now, and returns what holds and its age. What lies behind on the build's course was overtaken
-    /// on its way: with it a cap that has been lowered would be raised again. Ages alone would not do, as each is
-    /// shorter by its own way here.
+    /// Takes a status that was just read; returns the one in force and its age. A status that is behind in
+    /// the build's rollout was overtaken on its way; accepting it would raise a cap that has been lowered.
+    /// The reported ages alone do not show this, as each is too small by its transfer time.
     fn hear(&mut self, now: Duration, stage: &desk::Stage) -> (desk::Stage, Duration) {
         let new = Told { stage: *stage, since: now.saturating_sub(Duration::from_millis(stage.age_ms)) };
         let overtaken = |old: &Told| new.course() < old.course() && new.since <= old.since + WAY;
@@ -75,10 +78,10 @@
             Event::Stage { build, stage, course, reply, cap: 0.0, age: Duration::ZERO }
         };
         Some(match ballot {
-            // The module reads the standing only from answers that count.
+            // The policy reads the status only from answers to counted votes.
             Ballot::Failed => stand(VoteReply::Error),
             Ballot::Silent => stand(VoteReply::Silent),
-            // A vote that counts comes with the standing; without it, nothing is known of either.
+            // A counted vote comes with the status. Without it, neither is known.
             Ballot::Refused(desk::Counted::Counts) => stand(VoteReply::Silent),
             Ballot::Refused(counted) => stand(reply_of(counted)),
             Ballot::Answered(answer) => {
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -1,4 +1,4 @@
-//! Addresses of nodes to the small indices that the module knows, and whole lists to what has changed.
+//! Maps node addresses to the policy's small indices, and turns complete node lists into changes.
 
 mod part;
 #[cfg(test)]
@@ -16,49 +16,52 @@
 use part::Part;
 pub use part::DEAD;
 
-/// An index is given to another address no sooner than this after its node has gone, nor before picks at it have ended
-/// and the windows of the rules are over: what the module has on its account is under the index.
+/// An index is reused for another address only after its node has been gone for this long, no pick at it can
+/// be in flight and the rules' windows have passed: the policy keeps its accounting by index.
 const REST: Duration = Duration::from_secs(120);
 
-/// A listed node that could not be taken as it stands.
+/// A listed node that was rejected or changed on reading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
+    /// The node's address as listed.
     pub node: String,
+    /// The problem, for the log.
     pub why: &'static str,
 }
 
-/// A node's start as discovery gave it, and as it was read when that was first said.
+/// A node's start time from discovery, and its conversion when that time was first reported.
 struct SaidStart {
     unix_ms: Option<u64>,
     at: Option<Duration>,
 }
 
+/// Node list, index table and subset of one service.
 pub struct Directory {
     zones: Vec<String>,
     kinds: Vec<String>,
     index: HashMap<SocketAddr, NodeIx>,
     addrs: Vec<SocketAddr>,
-    /// What the module was told of each.
+    /// What the policy was told of each node.
     entries: BTreeMap<NodeIx, NodeEntry>,
-    /// All that the latest list names, in its order, and where each stands there.
+    /// All nodes of the latest list, in its order; `known` holds the position of each address.
     listed: Vec<(SocketAddr, NodeEntry)>,
     known: HashMap<SocketAddr, usize>,
-    /// How many of them are ready.
+    /// Number of ready nodes in it.
     ready: usize,
-    /// Where the module hears of a part only.
+    /// The subset, where the policy knows only a part of the list.
     part: Option<Part>,
     sight: Sight,
-    /// The terms are others since the module was told.
+    /// The config has changed since the policy was last told of nodes.
     terms_changed: bool,
     rest: Duration,
-    /// When each listed node says that it started.
+    /// Start time of each listed node.
     starts: HashMap<SocketAddr, SaidStart>,
-    /// Nodes that drain or have gone, and when that was told; for some time only.
+    /// Draining and removed nodes with the time that was reported, kept for `rest`.
     withdrawn: HashMap<SocketAddr, Duration>,
-    /// Indices whose nodes have gone, and when.
+    /// Indices whose nodes have gone, with the time.
     gone: VecDeque<(Duration, NodeIx)>,
     pub rejected: Vec<Rejected>,
-    /// Addresses whose process has gone, or been followed by another, by the latest list.
+    /// Addresses whose process has gone or been replaced according to the latest list.
     pub left_behind: Vec<SocketAddr>,
 }
 
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Takes new terms. Zones and kinds that are known keep their places.
+    /// Takes a new config. Known zones and kinds keep their indices.
     pub fn renew(&mut self, terms: &Terms) {
         (self.zones, self.kinds, self.rest) = (terms.zones.clone(), terms.kinds.clone(), rest(terms));
         self.terms_changed = true;
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Of all nodes that have a place here.
+    /// Addresses of all nodes that have an index.
     pub fn addrs(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.addrs.iter().copied()
     }
@@ -108,12 +111,12 @@
         self.index.get(&addr).copied()
     }
 
-    /// New work may go to this node, as far as the list says.
+    /// Whether the list allows new work at this node.
     pub fn sendable(&self, addr: SocketAddr) -> bool {
         self.known.get(&addr).is_some_and(|at| self.listed[*at].1.readiness == Readiness::Ready)
     }
 
-    /// When it was told that this node drains or has gone; none where it may be sent to.
+    /// When this node was reported as draining or removed; `None` if it is ready.
     pub fn withdrawn_at(&self, addr: SocketAddr) -> Option<Duration> {
         self.withdrawn.get(&addr).copied()
     }
@@ -122,7 +125,7 @@
         self.entries.get(&node).map_or(0, |e| e.build)
     }
 
-    /// All that a module is to hear of that has been told nothing yet, as what `scope` says.
+    /// The complete node events for a policy that has been told nothing yet, with the given scope.
     pub fn whole(&self, scope: Scope) -> Vec<Event> {
         let present = self.entries.values().filter(|e| e.readiness != Readiness::Gone);
         let nodes = Event::Nodes { scope, nodes: present.copied().collect() };
@@ -130,19 +133,19 @@
         sight.into_iter().chain([nodes]).collect()
     }
 
-    /// What the module is told of.
+    /// Addresses of the nodes that the policy knows.
     pub fn held(&self) -> Vec<SocketAddr> {
         let present = self.entries.values().filter(|e| e.readiness != Readiness::Gone);
         present.map(|e| self.addrs[e.node]).collect()
     }
 
-    /// How many nodes the module is told of, and how many there are.
+    /// Number of nodes that the policy knows, and number of listed nodes.
     pub fn counts(&self) -> (usize, usize) {
         let held = self.entries.values().filter(|e| e.readiness != Readiness::Gone).count();
         (held, self.listed.len())
     }
 
-    /// Indices given out, to nodes that have gone too.
+    /// Number of indices in use, those of removed nodes included.
     pub fn len(&self) -> usize {
         self.addrs.len()
     }
@@ -151,7 +154,7 @@
         self.ready
     }
 
-    /// The oldest build that a listed node runs.
+    /// The oldest build among the listed nodes.
     pub fn oldest(&self) -> Build {
         self.listed.iter().map(|(_, e)| e.build).min().unwrap_or(0)
     }
@@ -177,22 +180,23 @@
         node
     }
 
-    /// A whole list as the change since the last one. A node listed twice counts as the more careful of both:
-    /// draining if either says so, the later build (which may be on trial), the later start.
+    /// Turns a complete list into the change since the last one. A node that is listed twice gets the more
+    /// cautious value of each field: draining if either says so, the later build (which may be on trial) and
+    /// the later start.
     pub fn take(&mut self, now: Duration, clock: &WallClock, listed: &[Listed]) -> Vec<Event> {
         self.rejected.clear();
         let mut fresh: Vec<(SocketAddr, NodeEntry)> = Vec::with_capacity(listed.len());
         let mut places = HashMap::with_capacity(listed.len());
         for one in listed {
             let Some(addr) = address(one) else {
-                let why = "its address is no IP address: names are not looked up here";
+                let why = "its address is not an IP address; host names are not resolved";
                 self.rejected.push(Rejected { node: format!("{}:{}", one.host, one.port), why });
                 continue;
             };
             let entry = self.entry(now, clock, addr, one);
             let at = *places.entry(addr).or_insert(fresh.len());
             if let Some((_, other)) = fresh.get_mut(at) {
-                let why = "it is listed twice: taken as the more careful of both";
+                let why = "it is listed twice; the more cautious of the two entries is used";
                 self.rejected.push(Rejected { node: addr.to_string(), why });
                 if entry.readiness == Readiness::Draining {
                     other.readiness = Readiness::Draining;
@@ -216,7 +220,7 @@
         self.settle(now, Scope::Delta, &known)
     }
 
-    /// Notes since when nodes that were listed before are not to be sent to. `known`: those.
+    /// Records since when previously listed nodes must not be sent to. `known`: the previous list.
     fn note_withdrawn(&mut self, now: Duration, known: &HashMap<SocketAddr, usize>) {
         let (listed, places) = (&self.listed, &self.known);
         let sendable = |addr: &SocketAddr| {
@@ -228,8 +232,8 @@
         }
     }
 
-    /// Other nodes to hold, by the marshal's rate, who is dead, or new terms: what the module is told then. None of it is
-    /// discovery's word.
+    /// Recomputes the subset after changes of the marshal's RPC rate, of the dead marshals or of the config.
+    /// Returns the events for the policy, in a scope that does not count as an answer of discovery.
     pub fn look(&mut self, now: Duration, taken: u64, dead: impl FnOnce() -> Vec<usize>) -> Vec<Event> {
         let news = self.part.as_mut().is_some_and(|part| part.look(now, taken, dead));
         if !std::mem::take(&mut self.terms_changed) && !news {
@@ -241,7 +245,8 @@
         events
     }
 
-    /// Tells the module of those that it is to hear of. `scope`: whose word it is. `known`: what was listed before.
+    /// Produces the events for the nodes that the policy is to know. `scope`: where they come from. `known`:
+    /// the previous list.
     fn settle(&mut self, now: Duration, scope: Scope, known: &HashMap<SocketAddr, usize>) -> Vec<Event> {
         let (index, entries) = (&self.index, &self.entries);
         let held = |addr: &SocketAddr| {
@@ -283,11 +288,12 @@
         events
     }
 
-    /// A node as it is listed; which index it has, if any, is not said yet.
+    /// Converts a list entry; its index is assigned later.
     fn entry(&self, now: Duration, clock: &WallClock, addr: SocketAddr, one: &Listed) -> NodeEntry {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let said_before = self.starts.get(&addr).filter(|said| said.unix_ms == one.started_ms);
-        // A start in the future is a clock that is ahead: the node is at least as young as can be.
+        // A start in the future comes from a clock that is ahead. Keep the known start if there is one, else
+        // treat the node as just started.
         let read = || {
             one.started_ms.and_then(|ms| clock.past(now, ms)).map(|at| {
                 let known = || {
@@ -298,7 +304,7 @@
                 known.unwrap_or(at.min(now))
             })
         };
-        // What was said before is the same process, however the clock has stepped since.
+        // An unchanged start time means the same process, even if the clock has stepped since.
         let started = said_before.map_or_else(read, |said| said.at);
         let ip = match addr.ip() {
             std::net::IpAddr::V4(ip) => u64::from(ip.to_bits()),
@@ -310,7 +316,7 @@
             kind: position(&self.kinds, &one.kind).unwrap_or(0),
             power: one.power,
             cell: one.cell.into(),
-            // A zone that the terms do not name is far from all that they do.
+            // A zone that the config does not name is remote from all that it names.
             zone: position(&self.zones, &one.zone).unwrap_or(self.zones.len()),
             readiness: if one.state == State::Ready { Readiness::Ready } else { Readiness::Draining },
             started,
@@ -319,7 +325,7 @@
     }
 }
 
-/// None: names are not looked up here.
+/// The node's socket address; `None` for a host name, as there is no DNS lookup here.
 fn address(one: &Listed) -> Option<SocketAddr> {
     Some(SocketAddr::new(one.host.parse().ok()?, one.port))
 }
--- a/crates/marshal/src/directory/part.rs
+++ b/crates/marshal/src/directory/part.rs
@@ -1,5 +1,5 @@
-//! The subset: which of the listed nodes the module hears of. `ivydrift_subset` decides; here is what that needs of the
-//! hour, and the wait of cold nodes.
+//! The subset: which of the listed nodes the policy knows. `ivydrift_subset` chooses them; this module
+//! supplies the RPC rate and the dead marshals, and delays cold nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,20 +9,23 @@
 use ivydrift_subset::{choose_again, seen, Fleet, Memory, Node, Size};
 use ivydrift_terms::Terms;
 
-/// A marshal that has been dead for so long has its nodes taken by others. A restart is over by then: it moves nothing.
+/// The nodes of a marshal that has been dead for this long are taken over by others. A restart takes less
+/// time, so it moves no nodes.
 pub const DEAD: Duration = Duration::from_secs(30);
-/// Rate and deaths are looked at this often, and the rate is that of the last seconds.
+/// Interval for updating the RPC rate and the dead marshals.
 const LOOK: Duration = Duration::from_secs(1);
+/// Time constant of the RPC rate's exponential moving average, in seconds.
 const MEAN: f64 = 10.0;
 
+/// This marshal's subset of a large node list.
 pub struct Part {
     fleet: Fleet,
     size: Size,
     memory: Memory,
-    /// From this age on a node needs no budget, whose window the second figure is.
+    /// Age from which a node counts as warm and needs no budget; `window` is the budget's window.
     warm: Duration,
     window: Duration,
-    /// Nodes that wait until then, by address.
+    /// Cold nodes whose first use is delayed, with the time it ends.
     late: HashMap<SocketAddr, Duration>,
     looked: Option<Duration>,
     taken: u64,
@@ -47,7 +50,7 @@
         })
     }
 
-    /// Takes other terms. Of the rate, and of who is dead, what was known stays known.
+    /// Takes a new config; the RPC rate and the dead marshals stay known.
     pub fn renew(&mut self, new: Part) {
         let (looked, taken, rate, late) =
             (self.looked, self.taken, self.rate, std::mem::take(&mut self.late));
@@ -55,7 +58,8 @@
         self.looked = self.looked.map(|at| at.saturating_sub(LOOK));
     }
 
-    /// True where it may hold other nodes now: by its rate, by who has died or come back, or a wait that is over.
+    /// Returns true if the subset may have changed: by the RPC rate, by a marshal that died or came back, or
+    /// by a delay that is over.
     pub fn look(&mut self, now: Duration, taken: u64, dead: impl FnOnce() -> Vec<usize>) -> bool {
         let mut news = self.late.values().any(|until| *until <= now);
         let since = *self.looked.get_or_insert(now);
@@ -70,10 +74,11 @@
         news
     }
 
-    /// Which of these are held. `before`: the module hears of it already, or it was not listed until now.
+    /// Chooses the subset: whether each listed node is in it. `before`: the policy already knows the node, or
+    /// it was not listed until now.
     ///
-    /// A cold node that others have held until now waits for a whole window of its budget: what this marshal and those
-    /// before it have sent there is not known, and counts as all that the rule allows.
+    /// A cold node that other marshals have served until now is delayed by one whole window of its budget:
+    /// what this marshal and its predecessors sent there is unknown, so the budget counts as used up.
     pub fn draw(
         &mut self, now: Duration, listed: &[(SocketAddr, NodeEntry)], before: impl Fn(&SocketAddr) -> bool,
     ) -> (Vec<bool>, Sight) {
--- a/crates/marshal/src/directory/tests.rs
+++ b/crates/marshal/src/directory/tests.rs
@@ -21,7 +21,7 @@
         let [Event::Nodes { nodes, .. }] = &directory.take(now, &WallClock::new(0), &list)[..] else {
             panic!("not a list")
         };
-        // Four leave and four come, each under an index that no other listed node has.
+        // Four nodes leave and four come, each under an index that no other listed node has.
         assert_eq!(nodes.len(), if round == 0 { 4 } else { 8 });
         let ready = directory.entries.values().filter(|e| e.readiness == Readiness::Ready).count();
         assert_eq!(ready, 4);
@@ -67,7 +67,7 @@
     assert_ne!(directory.addr(index), Some(left), "never given to another");
 }
 
-/// The wall clock goes back by an hour: who was listed before keeps its age, who starts now is young.
+/// The wall clock steps back by an hour: a node listed before keeps its age, a node that starts now is young.
 #[test]
 fn a_step_of_the_wall_clock_makes_no_node_older_or_younger() {
     const HOUR_MS: u64 = 3_600_000;
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -1,10 +1,11 @@
-//! The core of a marshal, between its sockets and the decision module: it keeps the table of RPCs and picks,
-//! gives names small indices, hands events to the module and its actions out as [`Order`]s. It has no socket,
-//! clock or thread: `Core::handle(now, input) -> orders`.
+//! The core of a marshal, between its sockets and the policy (the decision module). It keeps the table of
+//! RPCs and picks, maps addresses and names to small indices, passes events to the policy and turns the
+//! policy's actions into [`Order`]s. It has no socket, clock or thread: `Core::handle(now, input) -> orders`.
 //!
-//! It decides nothing that the module decides. Four things are its own, as they are facts rather than
-//! choices: which [`Outcome`] a socket's story proves, that an RPC gets one final answer only, that an RPC
-//! whose time is up while the module is silent is aborted, and that one whose body is gone ends with its pick.
+//! It makes none of the policy's decisions. Four rules are enforced here because they follow from facts and
+//! leave no choice: which [`Outcome`] an observation on the socket proves; that an RPC gets exactly one final
+//! answer; that an RPC which the policy has not answered in time is aborted; and that an RPC whose body
+//! cannot be sent again ends with its pick.
 #![forbid(unsafe_code)]
 
 mod admission;
@@ -36,6 +37,8 @@
 pub use services::{Dropped, Hold, Holding, Said, Services, HOME};
 use wall_clock::WallClock;
 
+/// State of one service: RPC table, node list, timers and the policy. All times are offsets from the I/O
+/// layer's zero.
 pub struct Core {
     policy: Marshal,
     terms: Terms,
@@ -43,40 +46,42 @@
     rpcs: Rpcs,
     wakes: BTreeSet<(Duration, u64)>,
     counts: Counts,
-    /// Unix time at the shell's zero, in milliseconds, as the start had it.
+    /// Unix time of the I/O layer's zero in milliseconds, as read at the start.
     zero_ms: u64,
     wall_clock: WallClock,
     held_back: Option<HeldBack>,
     desk_heard: bool,
     standing: desk::Standing,
-    /// Whether a method is taken now, by its index: earlier terms may have had more, of which RPCs are still in hand.
+    /// Whether RPCs of a method are accepted, by method index. A method of an earlier config may be gone
+    /// while RPCs of it are still in flight.
     offered: Vec<bool>,
-    /// The other marshals; none before the first call, and where the terms allow no peers.
+    /// Membership among the marshals; `None` before the first call and where the config allows no peers.
     peers: Option<Peers>,
-    /// Which marshals are dead, where another core of this process knows it.
+    /// Numbers of the dead marshals, for a core without peers; another core of this process supplies them.
     buried: Vec<usize>,
     begun: bool,
     program: String,
 }
 
-/// The nodes that are known before the desk has said anything: the module hears of them once it has.
+/// Node events that arrived before the rollout controller's first message. The policy receives them after it.
 struct HeldBack {
-    /// When the first of them came.
+    /// Arrival time of the first of them.
     since: Duration,
     events: Vec<Event>,
 }
 
-/// Before the desk has said anything a marshal does not know what is on trial. After this long the oldest build
-/// listed is taken as released, so that all later ones are held to the first stage's cap.
+/// Without a message from the rollout controller a marshal does not know which build is on trial. After this
+/// time the oldest listed build counts as released, so that all later builds are limited to the first stage's
+/// cap.
 const DESK_PATIENCE: Duration = Duration::from_secs(2);
 
-/// How long past an RPC's time the module is given to end it before the core does, at most; the rest of the
-/// reserve is for the answer's way.
+/// Upper bound on how long after an RPC's deadline the core waits for the policy to answer before it aborts
+/// the RPC. The rest of the reserve is left for sending the answer.
 const OVERDUE: Duration = Duration::from_millis(5);
 
 impl Core {
-    /// `zero_ms` is the Unix time of the shell's zero. Let zero lie well before the start, so that nodes which
-    /// started earlier have an age.
+    /// `zero_ms` is the Unix time of the I/O layer's zero in milliseconds. Zero must lie well before the
+    /// start, so that nodes started earlier have a representable age.
     pub fn new(terms: Terms, zero_ms: u64) -> Self {
         Core {
             policy: Marshal::new(&terms.rollout),
@@ -98,35 +103,38 @@
         }
     }
 
-    /// Unix time at the shell's zero, in milliseconds, as the wall clock stands now: it may have stepped.
+    /// Updates the Unix time of the I/O layer's zero (milliseconds) from the current wall clock, which may
+    /// have stepped.
     pub fn read_wall_clock(&mut self, zero_ms: u64) {
         self.wall_clock.read(zero_ms);
     }
 
-    /// Which program this is, as others may be told; to be said before anything else.
+    /// Sets the program name announced to the other marshals. Call it before the first [`Core::handle`].
     pub fn run_by(&mut self, program: String) {
         self.program = program;
     }
 
+    /// Numbers of the marshals that have been dead for [`directory::DEAD`].
     fn dead(&self, now: Duration) -> Vec<usize> {
         dead(&self.peers, &self.buried, now)
     }
 
-    /// Says so to a core that has no peers of its own.
+    /// Sets the dead marshals for a core without peers.
     fn bury(&mut self, dead: &[usize]) {
         self.buried = dead.to_vec();
     }
 
+    /// Counters since the start; `held` is the number of RPCs in the table now.
     pub fn counts(&self) -> Counts {
         Counts { held: self.rpcs.len(), ..self.counts }
     }
 
-    /// Bytes that the module has laid out for evidence of methods; none for those that were never seen.
+    /// Bytes that the policy has allocated for evidence by method. A method without RPCs takes none.
     pub fn laid_out(&self) -> usize {
         self.policy.laid_out()
     }
 
-    /// How many nodes may be sent to, as far as the module has been told.
+    /// Number of ready nodes that the policy knows of; 0 while node events wait for the rollout controller.
     pub fn ready(&self) -> usize {
         if self.held_back.is_some() {
             return 0;
@@ -134,7 +142,7 @@
         self.directory.ready()
     }
 
-    /// What was wrong with the latest list, node by node.
+    /// Problems found in the latest node list, by node.
     pub fn rejected(&self) -> &[Rejected] {
         &self.directory.rejected
     }
@@ -148,15 +156,16 @@
         wake.into_iter().chain(overdue).chain(held_back).chain(peers).min().unwrap_or(Duration::ZERO)
     }
 
+    /// Processes one input and returns the commands to carry out, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut events = Vec::new();
         if !std::mem::replace(&mut self.begun, true) {
-            // The shell's zero lies the same span before each start: a later start has a later one.
+            // Zero lies at a fixed span before each start, so a later start has a larger `zero_ms`.
             self.peers = Peers::new(&self.terms, &self.program, self.zero_ms, now);
         }
         self.read(now, input, &mut events, &mut orders);
-        // The module wants a first call before anything else, to set its timers.
+        // The policy must be called once before any event, to set its timers.
         while self.act(now, std::mem::take(&mut events), &mut events, &mut orders) {}
         orders
     }
@@ -224,7 +233,7 @@
                     events.push(Event::Stage { build, stage, course, reply, cap: 1.0, age });
                     events.extend(self.held_back.take().into_iter().flat_map(|held| held.events));
                     self.desk_heard = true;
-                    let line = "the release desk is silent: the oldest build listed is taken as released";
+                    let line = "no message from the rollout controller; treating the oldest listed build as released";
                     orders.push(Order::Log(line.to_owned()));
                 }
                 while let Some(&(at, tag)) = self.wakes.first().filter(|w| w.0 <= now) {
@@ -246,7 +255,8 @@
         }
     }
 
-    /// A page of what this marshal knows of the others; none where the terms allow no peers.
+    /// Returns one page of this marshal's view of the others, from row `first`; `None` where the config
+    /// allows no peers.
     pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::More)> {
         self.peers.as_ref().map(|p| p.view(now, first))
     }
@@ -255,17 +265,21 @@
         let known = self.terms.methods.find(call.method);
         let Some(method) = known.filter(|&method| self.offered[method]) else {
             self.counts.rejected += 1;
-            orders.push(Order::Reject { id, status: 404, why: "no such method: the path names it" });
+            orders.push(Order::Reject {
+                id,
+                status: 404,
+                why: "unknown method: the path must name a method of the config",
+            });
             return;
         };
         let terms = &self.terms.rollout.methods[method];
         if matches!(terms.repeat, Repeat::Tokened { .. }) && !call.tokened {
             self.counts.rejected += 1;
-            let why = "this method is tokened: send an Idempotency-Key";
+            let why = "this method requires an Idempotency-Key header";
             orders.push(Order::Reject { id, status: 400, why });
             return;
         }
-        // The answer must be on its way before the client's time is up.
+        // The answer must leave before the client's deadline.
         let left = call.left.unwrap_or(terms.deadline).min(terms.deadline);
         let reserve = self.terms.bounds.reserve.min(left / 4);
         let left = left.saturating_sub(reserve);
@@ -282,7 +296,7 @@
         orders: &mut Vec<Order>,
     ) {
         let outcome = saw.outcome();
-        // A second report of one pick, or one of a pick given up by us, says nothing new.
+        // A second report of a pick, or a report of a pick that was already cancelled, is ignored.
         let Some(end) = self.rpcs.end_pick(id, pick, outcome == Outcome::Ok) else { return };
         let took = now.saturating_sub(end.sent.at);
         if outcome == Outcome::Ok && end.wins {
@@ -295,7 +309,8 @@
         let (rpc, node, load, done) = (end.rpc, end.sent.node, saw.load(), end.done || end.spent);
         self.rpcs.note(id, outcome);
         if end.spent {
-            // The module must not hear of a choice that is none: to it the RPC is over.
+            // The RPC cannot be sent again, so there is nothing for the policy to decide: to the policy it is
+            // over.
             events.push(Event::ClientLeft { rpc });
             let unseen = matches!(outcome, Outcome::Full | Outcome::NoConnection);
             if let Some((id, picks, why)) = self.rpcs.answer(rpc) {
@@ -313,7 +328,7 @@
         self.rpcs.sweep(id);
     }
 
-    /// The module has not ended this RPC in its time. It must not stay without an answer.
+    /// Aborts an RPC that the policy did not answer in time, so that it does not stay without an answer.
     fn overdue(&mut self, now: Duration, id: Id, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
         let Some(late) = self.rpcs.cut(id) else { return };
         let (picks, why) = (late.picks, late.why);
@@ -329,7 +344,7 @@
         orders.push(Order::Abort { id, picks, why });
     }
 
-    /// Hands events to the module and carries its actions into orders; true while that made new events.
+    /// Passes events to the policy and turns its actions into commands; true if that produced new events.
     fn act(
         &mut self, now: Duration, events: Vec<Event>, more: &mut Vec<Event>, orders: &mut Vec<Order>,
     ) -> bool {
@@ -360,7 +375,7 @@
                 Action::Tell { to, text } => self.tell(to, &text, orders),
                 Action::Log(line) => orders.push(Order::Log(line)),
                 Action::Subscribe(true) | Action::FetchList => orders.push(Order::FollowMembership),
-                // Leaving the list and probing are not spoken here: terms.probes is never set.
+                // Unsubscribing and probing are not implemented here; `terms.probes` is never set.
                 Action::Subscribe(false) | Action::Probe { .. } => {}
                 Action::Vote { verdict, stage, build } => {
                     let verdict = match verdict {
@@ -392,7 +407,8 @@
                 orders.push(Order::Pick { id, pick, node: addr, by: now + within, careful });
             }
             _ => {
-                // Ended in this very batch: the pick is not issued, and the module is told so.
+                // The RPC ended within this batch of actions: the pick is not issued and the policy is told
+                // so.
                 self.rpcs.end_pick(id, pick, false);
                 let (outcome, load) = (Outcome::Moot, Load::default());
                 let took = Duration::ZERO;
@@ -412,12 +428,13 @@
     }
 }
 
-/// Which marshals have been dead for long.
+/// Numbers of the marshals that have been dead for [`directory::DEAD`]; `buried` where this core has no
+/// peers.
 fn dead(peers: &Option<Peers>, buried: &[usize], now: Duration) -> Vec<usize> {
     peers.as_ref().map_or_else(|| buried.to_vec(), |p| p.dead(now, directory::DEAD))
 }
 
-/// What this marshal says of itself to others, its rate left out.
+/// This marshal's record for the others, without its RPC rate.
 fn about(terms: &Terms, directory: &Directory) -> peer::About {
     let zone = terms.rollout.zone;
     let region = terms.regions.get(zone).copied().unwrap_or(0);
--- a/crates/marshal/src/listing.rs
+++ b/crates/marshal/src/listing.rs
@@ -1,4 +1,4 @@
-//! The list on its way from the directory to the module.
+//! Passes the node list from the directory to the policy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,17 @@
 use crate::{Core, HeldBack, Order};
 
 impl Core {
-    /// The nodes that the module hears of: all that are listed, or this marshal's subset of a large list.
+    /// Nodes that the policy knows: all listed ones, or this marshal's subset of a large list.
     pub fn held(&self) -> Vec<SocketAddr> {
         self.directory.held()
     }
 
-    /// What the module is told of the list, and connections that end with it.
+    /// Passes node events to the policy, and closes idle connections that the change makes obsolete.
     pub(crate) fn relist(
         &mut self, now: Duration, told: Vec<Event>, events: &mut Vec<Event>, orders: &mut Vec<Order>,
     ) {
-        // An address may have another process by now, and what the earlier one has left open may be silent.
+        // A new process may run at the address by now, and connections to the earlier one may be dead without
+        // notice.
         let left = self.directory.left_behind.drain(..);
         orders.extend(left.map(|node| Order::CloseIdle { node }));
         if told.iter().any(|event| matches!(event, Event::Sight(_))) {
@@ -30,7 +31,8 @@
         }
         let answers = |event: &Event| matches!(event, Event::Nodes { scope: Scope::Full | Scope::Delta, .. });
         if told.iter().any(answers) {
-            // Its nodes wait for the desk; that discovery has answered is true now, and may not be by then.
+            // The nodes wait for the rollout controller's first message. That discovery has answered is
+            // reported now, as it may no longer hold by then.
             events.push(Event::Nodes { scope: Scope::Delta, nodes: vec![] });
         }
         if !told.is_empty() {
@@ -39,7 +41,7 @@
         }
     }
 
-    /// What was known before a restart, in place of a list.
+    /// Passes on the node list saved before a restart, until discovery answers.
     pub(crate) fn recall(&mut self, now: Duration, events: &mut Vec<Event>) {
         self.directory.left_behind.clear();
         let told = self.directory.whole(Scope::Cached);
--- a/crates/marshal/src/renewal.rs
+++ b/crates/marshal/src/renewal.rs
@@ -1,20 +1,20 @@
-//! New terms in a running marshal.
+//! Replaces the config of a running marshal.
 
 use ivydrift_policy::port::*;
 use ivydrift_terms::{Names, Terms};
 
 use crate::Core;
 
-/// Names that terms may bring in over a marshal's life: each keeps its index until a restart. Guards against memory that
-/// grows with each change of terms. Some four times as many as the largest fleet that is foreseen has (14,000 methods,
-/// 150,000 tenants): new names in a quarter of 8,900 changes a day reach either in weeks. In full that is some 13 MB of
-/// methods and 26 MB of tenants, names and terms together.
+/// Limit on method names over a marshal's lifetime: each name keeps its index until a restart, so memory
+/// would grow with every config change. The limits are about four times the largest expected fleet (14,000
+/// methods, 150,000 tenants); with new names in a quarter of 8,900 changes a day either is reached in weeks.
+/// At the limits, names and settings take about 13 MB for methods and 26 MB for tenants.
 pub(crate) const MOST_METHODS: usize = 65_536;
 const MOST_TENANTS: usize = 600_000;
-/// Zones and kinds are few, and evidence is kept by kind.
+/// Limit on zone and on kind names. There are few of either, and evidence is kept by kind.
 const MOST_PLACES: usize = 1000;
 
-/// All known names, the earlier ones first, and what `new` says of each where it does.
+/// All known names, the earlier ones first, and for each the value that `new` gives it, if any.
 fn merged<T>(known: &Names, new: &Names, values: Vec<T>) -> (Names, Vec<Option<T>>) {
     let (names, places) = known.with(new);
     let mut kept: Vec<Option<T>> = names.iter().map(|_| None).collect();
@@ -27,15 +27,16 @@
 }
 
 impl Core {
-    /// Takes new terms in mid-run: RPCs in hand stay, with the picks that are out; what the module knows of nodes,
-    /// builds and the rules' accounts stays. A method that is left out is taken no longer; its RPCs end as they
-    /// would have. The way back is the same step with the earlier terms.
+    /// Replaces the config while running. RPCs in flight and their picks continue, and the policy keeps what
+    /// it knows of nodes and builds and the accounting of its rules. A method that the new config leaves out
+    /// accepts no more RPCs; those in flight end normally. Renewing with the earlier config reverts the
+    /// change.
     ///
     /// # Errors
-    /// What cannot change without a restart; then nothing has changed.
+    /// Names the setting that cannot change without a restart; then nothing has changed.
     pub fn renew(&mut self, mut new: Terms) -> Result<(), String> {
         let (now, fixed) =
-            (&self.terms, "it is fixed for the life of a marshal: start another with the new value");
+            (&self.terms, "it is fixed while a marshal runs: start another marshal with the new value");
         if new.rollout.marshal != now.rollout.marshal {
             let (from, to) = (now.rollout.marshal, new.rollout.marshal);
             return Err(format!("marshal.number cannot change from {from} to {to}; {fixed}"));
@@ -46,7 +47,7 @@
         }
         let own = |t: &Terms| t.places.peers.get(t.rollout.marshal).copied();
         if own(&new) != own(now) {
-            return Err(format!("this marshal's own address in places.peers cannot change; {fixed}"));
+            return Err(format!("the address of this marshal in places.peers cannot change; {fixed}"));
         }
         if new.bounds.workers != now.bounds.workers {
             return Err(format!("bounds.workers cannot change; {fixed}"));
@@ -62,7 +63,7 @@
         for (what, names, most) in all.into_iter().chain(places) {
             if names.len() > most {
                 return Err(format!(
-                    "more than {most} names of {what} since the start; restart this marshal"
+                    "more than {most} distinct names of {what} since the start; restart this marshal"
                 ));
             }
         }
@@ -76,7 +77,7 @@
         let (count, old) = (kinds.len(), new.rollout);
         let rollout =
             RolloutTerms { methods: method_terms, tenants: tenant_terms, kinds: count, zone, ..old };
-        // A zone that the new terms do not name is a region of its own.
+        // A zone that the new config does not name is a region of its own.
         let lone = |z: usize| zones.len() + z;
         let regions = (0..zones.len()).map(|z| kept_regions[z].unwrap_or(lone(z))).collect();
         let (zones, kinds) = (listed(&zones), listed(&kinds));
--- a/crates/marshal/src/rpcs.rs
+++ b/crates/marshal/src/rpcs.rs
@@ -1,4 +1,4 @@
-//! The table of RPCs and their picks. Here it is settled that an RPC gets one final answer and no more.
+//! The table of RPCs and their picks. It ensures that an RPC gets exactly one final answer.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::{Id, Why};
 
-/// A pick as it was sent. `picks`: how many the RPC had by then.
+/// A pick that was sent. `picks`: number of the RPC's picks so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub node: NodeIx,
@@ -16,17 +16,18 @@
     pub picks: usize,
 }
 
+/// An RPC that is in flight or still has picks in flight.
 struct Held {
     rpc: RpcIx,
     until: Duration,
     careful: bool,
     picks: Vec<(Sent, bool)>,
-    /// It has its final answer, or its client has left.
+    /// The final answer was given, or the client has disconnected.
     over: bool,
-    /// This pick's answer is passing to the client.
+    /// The pick whose answer is being streamed to the client.
     streaming: Option<usize>,
     last: Option<Outcome>,
-    /// Part of its body went with a pick and is held nowhere.
+    /// Part of the body was sent with a pick and is not buffered.
     drawn: bool,
 }
 
@@ -44,20 +45,21 @@
     }
 }
 
-/// How a pick's end stands to its RPC.
+/// What the end of a pick means for its RPC.
 pub struct End {
     pub rpc: RpcIx,
     pub sent: Sent,
-    /// Its answer is the final one, and was not passed before.
+    /// Its answer is the final one and was not forwarded before.
     pub wins: bool,
-    /// Its answer had begun to pass.
+    /// Its answer was being streamed.
     pub streaming: bool,
-    /// The RPC has its final answer, by this or earlier.
+    /// The RPC has its final answer, from this pick or earlier.
     pub done: bool,
-    /// It still needs an answer, and cannot be sent again.
+    /// The RPC still needs an answer but cannot be sent again.
     pub spent: bool,
 }
 
+/// An RPC that was ended with its picks in flight.
 pub struct Cut {
     pub rpc: RpcIx,
     pub out: Vec<(usize, Sent)>,
@@ -65,17 +67,19 @@
     pub why: Why,
 }
 
+/// An RPC whose client has disconnected, with its picks in flight.
 pub struct Left {
     pub rpc: RpcIx,
     pub out: Vec<usize>,
 }
 
+/// All RPCs in flight, by id and by the policy's index.
 #[derive(Default)]
 pub struct Rpcs {
     held: HashMap<Id, Held>,
     ids: HashMap<RpcIx, Id>,
     next: RpcIx,
-    /// RPCs that still need an answer, by when the module must have given it.
+    /// Unanswered RPCs, ordered by the time by which the policy must have answered.
     until: BTreeSet<(Duration, Id)>,
 }
 
@@ -110,16 +114,17 @@
         self.ids.get(&rpc).copied()
     }
 
-    /// It must not run twice.
+    /// Whether the RPC must not run twice.
     pub fn careful(&self, id: Id) -> bool {
         self.held.get(&id).is_some_and(|h| h.careful)
     }
 
-    /// The RPC still needs an answer.
+    /// Whether the RPC still needs an answer.
     pub fn open(&self, id: Id) -> bool {
         self.held.get(&id).is_some_and(|h| !h.over)
     }
 
+    /// Records a pick; returns the RPC's id and the pick's index.
     pub fn send(&mut self, rpc: RpcIx, node: NodeIx, build: Build, at: Duration) -> Option<(Id, usize)> {
         let id = self.id(rpc)?;
         let held = self.held.get_mut(&id)?;
@@ -128,7 +133,7 @@
         Some((id, picks - 1))
     }
 
-    /// The final answer is ours: none where the RPC has one already.
+    /// Records that the marshal itself gives the final answer; `None` where the RPC already has one.
     pub fn answer(&mut self, rpc: RpcIx) -> Option<(Id, usize, Why)> {
         let id = self.id(rpc)?;
         let held = self.held.get_mut(&id).filter(|h| !h.over)?;
@@ -139,7 +144,8 @@
         Some(said)
     }
 
-    /// Part of the body was taken from the client for this pick. The wait for the client is not the node's.
+    /// Records that part of the body was read from the client for this pick. Time spent waiting for the
+    /// client does not count as the node's latency.
     pub fn draw(&mut self, id: Id, pick: usize, waited: Duration) {
         let Some(held) = self.held.get_mut(&id) else { return };
         held.drawn = true;
@@ -148,6 +154,8 @@
         }
     }
 
+    /// Records that the pick's answer is being streamed as the final one; `None` where the RPC already has
+    /// one.
     pub fn begin(&mut self, id: Id, pick: usize) -> Option<(RpcIx, Sent)> {
         let held = self.held.get_mut(&id).filter(|h| !h.over)?;
         let sent = held.picks.get(pick).filter(|p| p.1)?.0;
@@ -156,6 +164,7 @@
         Some((held.rpc, Sent { picks: held.picks.len(), ..sent }))
     }
 
+    /// Records the end of a pick; `None` where it has already ended.
     pub fn end_pick(&mut self, id: Id, pick: usize, ok: bool) -> Option<End> {
         let held = self.held.get_mut(&id)?;
         let slot = held.picks.get_mut(pick).filter(|p| p.1)?;
@@ -172,13 +181,14 @@
         Some(End { rpc: held.rpc, sent, wins, streaming, done: held.over, spent })
     }
 
+    /// Records the outcome of the RPC's latest pick.
     pub fn note(&mut self, id: Id, outcome: Outcome) {
         if let Some(held) = self.held.get_mut(&id) {
             held.last = Some(outcome);
         }
     }
 
-    /// The client has left: no answer is owed.
+    /// Records that the client has disconnected. No answer is needed any more.
     pub fn leave(&mut self, id: Id) -> Option<Left> {
         let held = self.held.get_mut(&id)?;
         let owed = !held.over;
@@ -189,12 +199,12 @@
         Some(left).filter(|l| owed || !l.out.is_empty())
     }
 
-    /// RPCs without an answer that the module should have ended by `now`.
+    /// Unanswered RPCs that the policy should have answered by `now`.
     pub fn overdue(&self, now: Duration) -> Vec<Id> {
         self.until.iter().take_while(|u| u.0 <= now).map(|u| u.1).collect()
     }
 
-    /// Ends an RPC and its picks.
+    /// Ends an unanswered RPC and its picks.
     pub fn cut(&mut self, id: Id) -> Option<Cut> {
         let held = self.held.get_mut(&id).filter(|h| !h.over)?;
         held.over = true;
@@ -207,7 +217,7 @@
         Some(cut)
     }
 
-    /// Forgets an RPC that is over and has no pick out.
+    /// Removes an RPC that is answered and has no pick in flight.
     pub fn sweep(&mut self, id: Id) {
         if let Some(held) = self.held.get(&id).filter(|h| h.over && h.out().next().is_none()) {
             self.ids.remove(&held.rpc);
--- a/crates/marshal/src/said.rs
+++ b/crates/marshal/src/said.rs
@@ -1,4 +1,4 @@
-//! What the shell tells the core, and what the core orders.
+//! Inputs of the core from the I/O layer, and the commands that the core returns.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,50 +6,51 @@
 use ivydrift_policy::port::{Build, DiscoverySign, Load, Outcome};
 use ivydrift_wire::{desk, list, orca};
 
-/// An RPC, by the shell's number; never reused.
+/// Identifies an RPC. The I/O layer assigns it and never reuses one.
 pub type Id = u64;
 
-/// What a client asks.
+/// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
+    /// Method name, from the request path.
     pub method: &'a str,
+    /// Tenant name as the client gave it.
     pub tenant: Option<&'a str>,
+    /// Routing key, as a number.
     pub key: Option<u64>,
-    /// It carries a token.
+    /// The request carries an idempotency key.
     pub tokened: bool,
-    /// How long the client will wait; none where it did not say.
+    /// Time left until the client's deadline; `None` where the client sent none.
     pub left: Option<Duration>,
-    /// The client says that it tried before.
+    /// The client reports earlier attempts of this request.
     pub repeated: bool,
 }
 
-/// What was seen on the socket of a pick.
+/// What the I/O layer observed on the connection of a pick.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Saw {
-    /// A whole answer. `never_ran`: the node gave its word that it turned the RPC away unseen.
-    Answer {
-        status: u16,
-        never_ran: bool,
-        load: orca::Metrics,
-    },
-    /// No connection stood in time, or it failed before one byte of the RPC was handed to it.
+    /// A complete answer. `never_ran`: the node states that it refused the RPC without running it.
+    Answer { status: u16, never_ran: bool, load: orca::Metrics },
+    /// The connection was not established in time, or failed before any byte of the RPC was written.
     NotSent,
-    /// Nobody tried: its time was over, or nobody wanted it any more, before it began. The node had no part in it.
+    /// The I/O layer did not start the attempt: its time was over, or the RPC no longer needed it. The node
+    /// was not involved.
     NotBegun,
-    /// The connection broke after a byte may have left, whatever came back.
+    /// The connection broke after at least one byte may have been sent, whatever came back.
     Broken,
-    /// What came back is not HTTP.
+    /// The node's reply is not valid HTTP.
     Garbled,
+    /// The node did not answer in time.
     TimedOut,
-    /// We closed the connection ourselves, as ordered.
+    /// The I/O layer closed the connection on [`Order::Sever`].
     Severed,
 }
 
 impl Saw {
-    /// What it proves of the pick.
+    /// Outcome of the pick that this observation proves.
     pub fn outcome(self) -> Outcome {
         match self {
-            // Only a refusal can carry the node's word: an ok that "never ran" contradicts itself.
+            // Only a 503 may state that the RPC never ran; a success with that flag contradicts itself.
             Saw::Answer { status: 503, never_ran: true, .. } => Outcome::Full,
             Saw::Answer { status, .. } if status < 500 => Outcome::Ok,
             Saw::Answer { .. } => Outcome::Error,
@@ -75,65 +76,57 @@
     }
 }
 
-/// How the desk answered a vote.
+/// How the rollout controller answered a vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ballot {
+    /// A complete answer, with the current stage.
     Answered(desk::VoteAnswer),
-    /// The desk said that it does not count, and no more.
+    /// The controller gave the status of the vote without the stage.
     Refused(desk::Counted),
-    /// The desk said that it failed.
+    /// The controller reported an error.
     Failed,
-    /// No answer; the vote may count.
+    /// No answer arrived. The vote may still have been counted.
     Silent,
 }
 
+/// An event that the I/O layer reports to the core.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    Rpc {
-        id: Id,
-        call: Call<'a>,
-    },
-    /// The answer of a pick is too long to be held: its head may go out now, the rest follows.
-    Began {
-        id: Id,
-        pick: usize,
-    },
-    Ended {
-        id: Id,
-        pick: usize,
-        saw: Saw,
-    },
-    /// Bytes of the body that are held nowhere were taken from the client for this pick: the RPC cannot be
-    /// sent again. `waited` for them since the last such report.
-    Drawn {
-        id: Id,
-        pick: usize,
-        waited: Duration,
-    },
-    ClientLeft {
-        id: Id,
-    },
+    /// A new RPC from a client.
+    Rpc { id: Id, call: Call<'a> },
+    /// The answer of a pick is too long to buffer: its head may be passed on now, the rest is streamed.
+    Began { id: Id, pick: usize },
+    /// A pick has ended.
+    Ended { id: Id, pick: usize, saw: Saw },
+    /// Body bytes that are not buffered were read from the client for this pick, so the RPC cannot be sent
+    /// again. `waited`: time spent waiting for the client since the last such report.
+    Drawn { id: Id, pick: usize, waited: Duration },
+    /// The client disconnected.
+    ClientLeft { id: Id },
+    /// A complete node list from discovery.
     Membership(&'a [list::Listed]),
-    /// The list as it was known before the start; it may be out of date.
+    /// The node list saved before the restart; it may be out of date.
     Known(&'a [list::Listed]),
-    /// The subscription to the list broke, or could not be had.
+    /// The node list subscription broke, or could not be established.
     MembershipLost,
-    /// What a call showed of discovery.
+    /// State of discovery, as seen by a call to it.
     Discovery(DiscoverySign),
+    /// An update from the rollout controller.
     News(&'a desk::News),
+    /// The rollout controller's answer to this marshal's vote.
     Voted(Ballot),
     /// A datagram from another marshal.
     Peer(&'a [u8]),
-    /// This marshal is about to stop.
+    /// This marshal is shutting down.
     Leaving,
-    /// Time has passed, see [`Core::due`].
+    /// A timer expired, see [`Core::due`](crate::Core::due).
     Tick,
 }
 
-/// Why an RPC has no ok.
+/// Why an RPC did not end with ok.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// No pick was made, or none that could have run.
+    /// No pick was made, or none that can have run.
     NoRoom,
     /// The last pick ended in an error, or its connection broke.
     Failed,
@@ -142,6 +135,7 @@
 }
 
 impl Why {
+    /// The reason as written in the `ivydrift-why` header.
     pub fn word(self) -> &'static str {
         match self {
             Why::NoRoom => "no-room",
@@ -151,68 +145,41 @@
     }
 }
 
-/// What the shell must do.
+/// A command that the I/O layer must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Send the RPC to a node, and report [`Input::Ended`] once, by then at the latest, however late the order is
-    /// carried out. `careful`: it must not run twice, so a connection that may have died unseen is not for it.
-    Pick {
-        id: Id,
-        pick: usize,
-        node: SocketAddr,
-        by: Duration,
-        careful: bool,
-    },
-    /// The final answer is this pick's: hand it to the client.
-    Pass {
-        id: Id,
-        pick: usize,
-        picks: usize,
-        build: Build,
-    },
-    /// The final answer: try again later, nothing ran or running twice does no harm.
-    PushBack {
-        id: Id,
-        picks: usize,
-        retry_after: Option<Duration>,
-        why: Why,
-    },
-    /// The final answer: failed, with no promise.
-    Abort {
-        id: Id,
-        picks: usize,
-        why: Why,
-    },
-    /// The final answer to what is no RPC of ours: a status and a sentence.
-    Reject {
-        id: Id,
-        status: u16,
-        why: &'static str,
-    },
-    /// A passed answer broke off: end the client's connection so that it cannot take it for whole.
-    BreakOff {
-        id: Id,
-    },
-    /// Nobody waits for this pick any more: close its connection, and report it ended.
-    Sever {
-        id: Id,
-        pick: usize,
-    },
-    CloseIdle {
-        node: SocketAddr,
-    },
-    Tell {
-        to: usize,
-        datagram: Vec<u8>,
-    },
+    /// Send the RPC to a node and report [`Input::Ended`] exactly once, by `by` at the latest even if the
+    /// command is carried out late. `careful`: the RPC must not run twice, so do not use an idle connection
+    /// that may already be dead.
+    Pick { id: Id, pick: usize, node: SocketAddr, by: Duration, careful: bool },
+    /// Final answer ok: forward this pick's answer to the client. `picks`: picks of the RPC so far.
+    Pass { id: Id, pick: usize, picks: usize, build: Build },
+    /// Final answer pushed back: the client may try again later. Either nothing ran, or running twice does no
+    /// harm.
+    PushBack { id: Id, picks: usize, retry_after: Option<Duration>, why: Why },
+    /// Final answer aborted: the RPC failed, and whether it ran is not known.
+    Abort { id: Id, picks: usize, why: Why },
+    /// Answer to a request that is not a valid RPC: an HTTP status and a message.
+    Reject { id: Id, status: u16, why: &'static str },
+    /// An answer broke off while it was being forwarded: close the client's connection so that the client
+    /// does not take the answer for complete.
+    BreakOff { id: Id },
+    /// The pick is no longer needed: close its connection and report it ended.
+    Sever { id: Id, pick: usize },
+    /// Close the idle connections to a node.
+    CloseIdle { node: SocketAddr },
+    /// Send a datagram to the marshal with number `to`.
+    Tell { to: usize, datagram: Vec<u8> },
+    /// Send a vote to the rollout controller.
     Vote(desk::Vote),
-    /// Ask the node list, and stay subscribed.
+    /// Fetch the node list and stay subscribed to it.
     FollowMembership,
+    /// Write a log line.
     Log(String),
 }
 
 impl Order {
-    /// The RPC that it is about.
+    /// The RPC that the command concerns, if any.
     pub fn rpc(&self) -> Option<Id> {
         match self {
             Order::Pick { id, .. }
@@ -231,18 +198,21 @@
     }
 }
 
-/// Counts since the start.
+/// Counters since the start; `held` is a gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// RPCs accepted, rejected ones left out.
     pub rpcs: u64,
     pub ok: u64,
     pub pushed_back: u64,
     pub aborted: u64,
+    /// RPCs whose client disconnected before the final answer.
     pub left: u64,
     pub rejected: u64,
     pub picks: u64,
-    /// RPCs that had to be ended here since the module had not by their time.
+    /// RPCs aborted by the core because the policy had not answered them in time.
     pub overdue: u64,
+    /// RPCs in the table now.
     pub held: usize,
 }
 
--- a/crates/marshal/src/services.rs
+++ b/crates/marshal/src/services.rs
@@ -1,8 +1,9 @@
-//! Many services in one marshal: state by need. A service has a [`Core`] while RPCs for it come, and none when it rests;
-//! `places.service` has one from the start to the end, and a marshal that serves only that does what one `Core` does,
-//! to the digit. As the core: no socket, clock or thread, `Services::handle(now, of, input) -> said`.
+//! Many services in one marshal, held on demand. A service has a [`Core`] while it receives RPCs and none
+//! while it is unused. `places.service` has one for the whole life of the marshal; a marshal that serves only
+//! that one behaves exactly as a single `Core`. Like the core, this has no socket, clock or thread:
+//! `Services::handle(now, of, input) -> said`.
 //!
-//! docs/services.md has the life of a service, what is never dropped, and what is forgotten.
+//! docs/services.md describes the life cycle of a service, what is never dropped, and what is forgotten.
 
 mod admission;
 mod cut;
@@ -21,32 +22,35 @@
 use cut::Others;
 use slot::Slot;
 
-/// One holding of a service. Never used again: what the list or desk of an earlier holding still says is of no effect.
+/// Identifies one period in which a service is held. Never reused, so late messages from the node list or
+/// rollout controller of an earlier period have no effect.
 pub type Hold = u64;
 
-/// `places.service`, which is always held.
+/// Identifies `places.service`, which is always held.
 pub const HOME: Hold = 0;
 
-/// A service may have room when this has passed; who is pushed back for want of room is told so.
+/// Upper bound of the retry-after sent to clients that are pushed back because no more services fit.
 const ROOM_AGAIN: Duration = Duration::from_secs(1);
 
-/// Who is dead is handed on this often; membership takes seconds to know it.
+/// Interval at which the cores of the other services learn which marshals are dead. Membership itself takes
+/// seconds to detect it.
 const DEAD_EVERY: Duration = Duration::from_secs(1);
 
-/// Why a service is held no longer.
+/// Why a service was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dropped {
-    /// No RPC came for it for long.
+    /// It received no RPC for `services.rest`.
     Rested,
-    /// It was the least lately used when another needed room.
+    /// It was the least recently used when another service needed its memory or its place.
     ForAnother,
-    /// Its list does not fit.
+    /// Its node list does not fit into `services.kib`.
     NoRoom,
-    /// New terms name no method of it.
+    /// A new config names no method of it.
     NotNamed,
 }
 
 impl Dropped {
+    /// The reason in log lines.
     pub fn word(self) -> &'static str {
         match self {
             Dropped::Rested => "rested",
@@ -57,25 +61,32 @@
     }
 }
 
-/// What the shell must do.
+/// A command that the I/O layer must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
-    /// An order of one service's core. [`Order::FollowMembership`] and [`Order::Vote`] go to that service's list and desk.
+    /// A command of one service's core. [`Order::FollowMembership`] and [`Order::Vote`] go to that service's
+    /// node list and rollout controller.
     Order { of: Hold, order: Order },
-    /// Its desk is to be followed from now on; its list when the core orders so.
+    /// Subscribe to the service's rollout controller. Its node list is subscribed to on
+    /// [`Order::FollowMembership`].
     Follow { of: Hold, service: Arc<str> },
-    /// Neither any more.
+    /// Unsubscribe from both.
     Leave { of: Hold, service: Arc<str>, why: Dropped },
 }
 
-/// What is held of a service, for the log.
+/// State of a held service, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
+    /// The period in which it is held.
     pub of: Hold,
     pub service: Arc<str>,
+    /// Ready nodes.
     pub ready: usize,
+    /// RPCs in the table.
     pub rpcs: usize,
+    /// Estimated memory.
     pub bytes: usize,
+    /// Nothing is going on, so it is ticked only rarely.
     pub asleep: bool,
 }
 
@@ -83,10 +94,11 @@
 #[derive(Clone, Copy)]
 struct Taken {
     of: Hold,
-    /// Its token's window, from each pick on.
+    /// Window of its idempotency key, counted from each pick.
     window: Duration,
 }
 
+/// All services of a marshal: the core of `places.service`, and the cores held on demand.
 pub struct Services {
     home: Core,
     others: Others,
@@ -94,20 +106,20 @@
     slots: BTreeMap<Hold, Slot>,
     names: HashMap<Arc<str>, Hold>,
     rpcs: HashMap<Id, Taken>,
-    /// When each has to be looked at, and in which order they leave.
+    /// When each service is due, and the order in which they are evicted.
     due: BTreeSet<(Duration, Hold)>,
     ranks: BTreeSet<(slot::Rank, Hold)>,
     bytes: usize,
     next: Hold,
-    /// Of services that are held no longer, and of RPCs that none took.
+    /// Counters of dropped services, and of RPCs that no service accepted.
     past: Counts,
-    /// Which marshals are dead, and when that was last asked.
+    /// The dead marshals, and when they were last determined.
     dead: Vec<usize>,
     counted: Duration,
 }
 
 impl Services {
-    /// As [`Core::new`].
+    /// See [`Core::new`].
     pub fn new(terms: Terms, zero_ms: u64) -> Self {
         let (home, others) = cut::split(terms);
         Services {
@@ -127,23 +139,23 @@
         }
     }
 
-    /// As [`Core::run_by`].
+    /// See [`Core::run_by`].
     pub fn run_by(&mut self, program: String) {
         self.home.run_by(program);
     }
 
-    /// Of all services together.
+    /// Counters of all services together.
     pub fn counts(&self) -> Counts {
         let cores = std::iter::once(&self.home).chain(self.slots.values().map(|s| &s.core));
         cores.fold(self.past, |sum, core| sum.plus(core.counts()))
     }
 
-    /// How many nodes of `places.service` may be sent to.
+    /// Number of ready nodes of `places.service`.
     pub fn ready(&self) -> usize {
         self.home.ready()
     }
 
-    /// What was wrong with a service's latest list.
+    /// Problems found in a service's latest node list.
     pub fn rejected(&self, of: Hold) -> &[Rejected] {
         match self.slots.get(&of) {
             Some(slot) => slot.core.rejected(),
@@ -152,22 +164,22 @@
         }
     }
 
-    /// A page of what this marshal knows of the others, as [`Core::peers`].
+    /// One page of this marshal's view of the others, see [`Core::peers`].
     pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::More)> {
         self.home.peers(now, first)
     }
 
-    /// It is held still.
+    /// Whether the service is still held.
     pub fn holds(&self, of: Hold) -> bool {
         of == HOME || self.slots.contains_key(&of)
     }
 
-    /// Services held beside `places.service`.
+    /// Services held besides `places.service`.
     pub fn held(&self) -> impl Iterator<Item = Holding> + '_ {
         self.slots.iter().map(|(of, slot)| slot.holding(*of))
     }
 
-    /// Reckoned bytes of those.
+    /// Estimated memory of those, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -178,8 +190,8 @@
         self.due.first().map_or(home, |d| d.0.min(home))
     }
 
-    /// `of`: whose list or desk said it; of no effect for inputs about an RPC, which is known by its id, and for those
-    /// about the marshal as a whole.
+    /// Processes one input. `of`: the service whose node list or rollout controller it comes from. It is
+    /// ignored for inputs about an RPC, which is found by its id, and for those about the marshal as a whole.
     pub fn handle(&mut self, now: Duration, of: Hold, input: Input) -> Vec<Said> {
         let mut said = Vec::new();
         match input {
@@ -209,21 +221,21 @@
         said
     }
 
-    /// Takes new terms in mid-run, as [`Core::renew`]: of every service at once, or of none. Services that they name no
-    /// longer are dropped once nothing of them is open.
+    /// Replaces the config while running, see [`Core::renew`]: of every service or, on error, of none.
+    /// Services that the new config no longer names are dropped once nothing of them is open.
     ///
     /// # Errors
-    /// What cannot change without a restart; then nothing has changed.
+    /// Names the setting that cannot change without a restart; then nothing has changed.
     pub fn renew(&mut self, terms: Terms) -> Result<(), String> {
         let (home, others) = cut::split(terms);
         let (old, new) = (&self.home.terms.places.service, &home.places.service);
         if new != old && self.names.contains_key(&new[..]) {
             return Err(format!(
-                "places.service cannot change from {old:?} to {new:?} while that is held beside it: wait until it \
-                 rests, or start another marshal with the new value"
+                "places.service cannot change from {old:?} to {new:?} while that service is held: wait until it is \
+                 dropped, or start another marshal with the new value"
             ));
         }
-        // Whatever else can be refused is refused by the first, before any other is touched.
+        // All other errors come from `home.renew`, before any other core has changed.
         for slot in self.slots.values() {
             slot.may_renew(&others)?;
         }
@@ -232,7 +244,7 @@
             slot.renew(&others);
         }
         self.others = others;
-        // Windows and rest may be others: all are looked at anew.
+        // Windows and the idle time may have changed: all services are due at once.
         self.due = self.slots.keys().map(|of| (Duration::ZERO, *of)).collect();
         self.slots.values_mut().for_each(|slot| slot.due = Duration::ZERO);
         Ok(())
@@ -243,7 +255,8 @@
         let of = held.or_else(|| self.begin(now, service, said));
         let slot = of.and_then(|of| Some((of, self.slots.get(&of).filter(|s| !s.refused)?)));
         let Some((of, slot)) = slot else {
-            // At once: to wait for room would hold the client's time, and memory, for what may not come.
+            // Pushed back at once: waiting for capacity would use up the client's time, and memory, on
+            // something that may never come.
             self.past.rpcs += 1;
             self.past.pushed_back += 1;
             let retry_after = self.others.terms.rollout.limits.retry_after.map(|most| most.min(ROOM_AGAIN));
@@ -258,11 +271,12 @@
     }
 
     fn tick(&mut self, now: Duration, said: &mut Vec<Said>) {
-        // One service alone is ticked whenever the shell says so, as a core is.
+        // A marshal with a single service ticks on every call, as a core does.
         if self.slots.is_empty() || now >= self.home.due() {
             self.give(now, HOME, Input::Tick, said);
         }
-        // Only the home's core knows the other marshals; which nodes a subset holds goes by who of them is dead.
+        // Only the core of `places.service` takes part in membership; the subsets of all services depend on
+        // which marshals are dead.
         if !self.slots.is_empty() && now >= self.counted + DEAD_EVERY {
             (self.counted, self.dead) = (now, self.home.dead(now));
             self.slots.values_mut().for_each(|slot| slot.core.bury(&self.dead));
@@ -277,14 +291,14 @@
         self.trim(now, None, said);
     }
 
-    /// Hands an input to a service's core.
+    /// Passes an input to a service's core.
     fn give(&mut self, now: Duration, of: Hold, input: Input, said: &mut Vec<Said>) {
         if of == HOME {
             let orders = self.home.handle(now, input);
             said.extend(orders.into_iter().map(|order| Said::Order { of, order }));
             return;
         }
-        // What list or desk of a dropped service still say, or a pick's end that was reported twice.
+        // A late message for a dropped service, or a repeated report of a pick's end.
         let Some(slot) = self.slots.get_mut(&of) else { return };
         for order in slot.give(now, input) {
             let order = match order {
@@ -303,7 +317,7 @@
         self.place(now, of);
     }
 
-    /// An RPC that its core has done with needs no way there.
+    /// Removes an RPC from the table once its core has finished with it.
     fn forget(&mut self, of: Hold, id: Id) {
         if self.slots.get(&of).is_some_and(|slot| !slot.core.holds(id)) {
             self.rpcs.remove(&id);
--- a/crates/marshal/src/services/cut.rs
+++ b/crates/marshal/src/services/cut.rs
@@ -1,4 +1,4 @@
-//! One file of terms as the terms of each service.
+//! Splits one config into the configs of the services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 use ivydrift_terms::services::ServicesTerms;
 use ivydrift_terms::{Names, Terms};
 
-/// What the terms say of all services but `places.service`.
+/// The config of all services except `places.service`.
 pub struct Others {
-    /// All that services have in common: no method, tenant or peer is in it.
+    /// The common part of the config, without methods, tenants and peers.
     pub terms: Terms,
     pub bounds: ServicesTerms,
     of: HashMap<String, Arc<str>>,
@@ -17,7 +17,7 @@
 }
 
 impl Others {
-    /// Whose method it is; none for `places.service` and for what no service has.
+    /// The service of a method; `None` for `places.service` and for unknown methods.
     pub fn service(&self, method: &str) -> Option<Arc<str>> {
         self.of.get(method).cloned()
     }
@@ -26,7 +26,7 @@
         self.methods.get(service).map_or(&[], |m| m)
     }
 
-    /// The terms of one service.
+    /// The config of one service.
     pub fn cut(&self, service: &str) -> Terms {
         let mut terms = self.terms.clone();
         terms.places.service = service.to_owned();
@@ -37,7 +37,7 @@
     }
 }
 
-/// The terms of `places.service`, and those of all others.
+/// Returns the config of `places.service` and that of all others.
 pub fn split(mut terms: Terms) -> (Terms, Others) {
     let home: Arc<str> = terms.places.service.clone().into();
     let serves = std::mem::take(&mut terms.serves);
@@ -50,7 +50,7 @@
     let bounds = terms.services;
     let mut others = Others { terms: shared, bounds, of: HashMap::new(), methods: HashMap::new() };
     (terms.tenants, terms.rollout.tenants) = tenants;
-    // Terms that say nothing of services are those of one.
+    // Methods without a service belong to `places.service`.
     let of = serves.into_iter().map(Some).chain(std::iter::repeat(None));
     let mut own = Vec::new();
     for ((name, value), of) in names.iter().zip(values).zip(of) {
--- a/crates/marshal/src/services/reckon.rs
+++ b/crates/marshal/src/services/reckon.rs
@@ -1,4 +1,4 @@
-//! What a core keeps, reckoned in bytes, and what of it stands open.
+//! Estimates a core's memory, and tells what of it is still open.
 
 use std::mem::size_of;
 use std::time::Duration;
@@ -7,15 +7,15 @@
 
 use crate::Core;
 
-/// An entry of a map beyond what it holds.
+/// Overhead of a map entry, in bytes.
 const ENTRY: usize = 24;
-/// A name: its text and where that lies.
+/// A name's text and its string header, in bytes.
 const NAME: usize = 48;
-/// An RPC in hand, with a pick or two.
+/// An RPC in the table with one or two picks, in bytes.
 const RPC: usize = 320;
 
 impl Core {
-    /// Accounts of the rules count as full from `now` on, each for its window.
+    /// Marks the accounting of the rules as used up from `now` on, each for its window.
     pub(super) fn fill_accounts(&mut self, now: Duration) {
         self.policy.fill_accounts(now);
     }
@@ -30,7 +30,7 @@
 
     fn fixed_bytes(&self) -> usize {
         let terms = &self.terms;
-        // Zones and kinds stand here and in the directory.
+        // Zones and kinds are stored here and in the directory.
         let names = 2 * (terms.zones.len() + terms.kinds.len()) + 2 * terms.methods.len();
         let duties = terms.methods.len() * (size_of::<MethodTerms>() + 2 * ENTRY);
         size_of::<Core>() + names * NAME + duties + (self.rpcs.len() * RPC)
@@ -47,7 +47,7 @@
         self.fixed_bytes() + module + self.directory.len() * listed
     }
 
-    /// With a first list of so many nodes.
+    /// Estimated memory after a first list of `nodes` nodes.
     pub(super) fn bytes_with(&self, nodes: usize) -> usize {
         self.bytes() + nodes * self.node_bytes()
     }
--- a/crates/marshal/src/services/room.rs
+++ b/crates/marshal/src/services/room.rs
@@ -1,13 +1,13 @@
-//! Who is held, within the bounds.
+//! Decides which services are held, within the limits on their number and memory.
 
 use super::*;
 use ivydrift_wire::list::Listed;
 
-/// Reckoned bytes of a service that has begun and knows no node, about.
+/// Estimated memory of a new service without nodes, in bytes.
 const FRESH: usize = 12 * 1024;
 
 impl Services {
-    /// Begins to hold a service, where there is room or can be made.
+    /// Starts holding a service if there is capacity or others can be evicted.
     pub(super) fn begin(&mut self, now: Duration, service: &Arc<str>, said: &mut Vec<Said>) -> Option<Hold> {
         if !self.room(now, None, 1, FRESH, said) {
             return None;
@@ -23,13 +23,13 @@
         self.names.insert(service.clone(), of);
         self.slots.insert(of, slot);
         said.push(Said::Follow { of, service: service.clone() });
-        // The module asks for the list at its first beat.
+        // The policy asks for the node list on its first tick.
         self.give(now, of, Input::Tick, said);
         Some(of)
     }
 
-    /// Makes room for so many more services and bytes: those that may be dropped leave, the first in rank first.
-    /// False where that would not do; then none has left.
+    /// Evicts services, in eviction order, until `more` services and `need` bytes fit. Returns false if that
+    /// is not possible; then none was evicted.
     fn room(
         &mut self, now: Duration, stays: Option<Hold>, more: usize, need: usize, said: &mut Vec<Said>,
     ) -> bool {
@@ -47,8 +47,9 @@
         true
     }
 
-    /// A service's list. The first one is taken where there is room for it; a later one always, as who drains and which
-    /// builds there are must be known: then others leave, as far as they may.
+    /// Takes a service's node list. The first list is accepted only if it fits. A later list always is,
+    /// because draining nodes and new builds must be known; other services are then evicted as far as they
+    /// may be.
     pub(super) fn list(&mut self, now: Duration, of: Hold, nodes: &[Listed], said: &mut Vec<Said>) {
         let Some(slot) = self.slots.get(&of) else { return };
         if !slot.listed {
@@ -66,7 +67,7 @@
         self.trim(now, Some(of), said);
     }
 
-    /// Lets leave who may, until the bytes are within the bound: what is held may have grown.
+    /// Evicts services that may be dropped until memory is within the limit, as held services may have grown.
     pub(super) fn trim(&mut self, now: Duration, stays: Option<Hold>, said: &mut Vec<Said>) {
         while self.bytes > self.others.bounds.bytes {
             let may = |of: &Hold| Some(*of) != stays && !self.slots[of].open(now);
@@ -82,7 +83,8 @@
         self.names.remove(&slot.name);
         self.bytes -= slot.bytes;
         self.past = self.past.plus(Counts { held: 0, ..slot.core.counts() });
-        // What rests open to its nodes would follow what was met, not what is held.
+        // Otherwise the number of idle connections would grow with all services ever held, not with those
+        // held now.
         let idle = slot
             .core
             .directory
@@ -92,7 +94,7 @@
         said.push(Said::Leave { of, service: slot.name, why });
     }
 
-    /// Brings the sets up to what a service is now.
+    /// Updates the due time, eviction order and memory of a service.
     pub(super) fn place(&mut self, now: Duration, of: Hold) {
         let Some(slot) = self.slots.get_mut(&of) else { return };
         let (due, rank, bytes) = (slot.due, slot.rank, slot.bytes);
--- a/crates/marshal/src/services/slot.rs
+++ b/crates/marshal/src/services/slot.rs
@@ -1,4 +1,4 @@
-//! One service that is held: its core, what must be known of it to let it sleep and to drop it.
+//! One held service: its core, and the state that decides when it may sleep and when it may be dropped.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,43 +12,45 @@
 use crate::renewal::MOST_METHODS;
 use crate::{Ballot, Core, Input, Order};
 
-/// Nothing in hand and no news for so long: evidence is halved every 5 s and verdicts are weighed for 15 s at the most,
-/// so nothing is left to be decided on.
+/// A service may sleep after this long without RPCs in flight or news: evidence halves every 5 s and verdicts
+/// are weighed for at most 15 s, so nothing is left to decide.
 const STIRRED: Duration = Duration::from_secs(20);
-/// After a list, the module looks at it a few times.
+/// After a node list arrives, the policy needs a few ticks.
 const LISTED: Duration = Duration::from_millis(400);
-/// A sleeping service is looked at this often.
+/// Tick interval of a sleeping service.
 const SLOW: Duration = Duration::from_secs(5);
-/// Accounts of the rules are kept by the module this much longer than their windows, by its beats.
+/// The policy keeps the rules' accounting this much longer than their windows, because of its tick interval.
 const MARGIN: Duration = Duration::from_millis(250);
-/// Reckoned anew after this long.
+/// Interval between memory estimates.
 const RECKON: Duration = Duration::from_secs(1);
 
-/// In which order services leave: those without a node first, then the least lately used.
+/// Eviction order: services without nodes first, then the least recently used.
 pub type Rank = (bool, Duration);
 
+/// A held service.
 pub struct Slot {
     pub name: Arc<str>,
     pub core: Core,
-    /// The last RPC, and the last pick.
+    /// Times of the last RPC and of the last pick.
     used: Duration,
     sent: Option<Duration>,
-    /// A token's window runs until then.
+    /// End of the last idempotency key's window.
     tokens: Duration,
-    /// Not asleep until then.
+    /// The service stays awake until then.
     awake: Duration,
-    /// Its list is followed; it has come; it has nodes.
+    /// The node list is subscribed to; a list has arrived; it has nodes.
     followed: bool,
     pub listed: bool,
     full: bool,
     trial: bool,
     stage: Option<Stage>,
-    /// Its first list found no room.
+    /// The first list did not fit.
     pub refused: bool,
-    /// The terms name no method of it.
+    /// The config names no method of it.
     retired: bool,
     asleep: bool,
-    /// As they stand in the sets, and in the sum.
+    /// The values entered in the sets `due` and `ranks` and in the sum `bytes` of
+    /// [`Services`](super::Services).
     pub due: Duration,
     pub rank: Rank,
     pub bytes: usize,
@@ -57,7 +59,7 @@
 
 impl Slot {
     pub fn new(now: Duration, name: Arc<str>, mut core: Core) -> Self {
-        // Whether it was held before, and when, is not remembered.
+        // Whether the service was held before is not remembered, so all budgets count as used up.
         core.fill_accounts(now);
         Slot {
             name,
@@ -86,7 +88,7 @@
         Holding { of, service, ready, rpcs, bytes: self.bytes, asleep: self.asleep }
     }
 
-    /// The window of a method's tokens.
+    /// Window of a method's idempotency keys.
     pub fn window(&self, method: &str) -> Duration {
         let terms = &self.core.terms;
         let at = terms.methods.find(method);
@@ -98,7 +100,7 @@
 
     pub fn give(&mut self, now: Duration, input: Input) -> Vec<Order> {
         let mut orders = Vec::new();
-        // It decides on the present, not on where it fell asleep.
+        // Tick first, so that the policy decides on the present and not on the time when it fell asleep.
         if std::mem::take(&mut self.asleep) && !matches!(input, Input::Tick) {
             orders = self.core.handle(now, Input::Tick);
         }
@@ -158,19 +160,19 @@
         self.tokens = self.tokens.max(now + window);
     }
 
-    /// When the accounts of the rules have passed, and the windows of tokens.
+    /// When the windows of the rules and of idempotency keys have passed.
     fn closed(&self) -> Duration {
         let terms = &self.core.terms.rollout;
         let windows = terms.release.window.max(terms.rules.fall_window) + MARGIN;
         self.sent.map_or(Duration::ZERO, |at| at + windows).max(self.tokens)
     }
 
-    /// Something of it is open: without its core a rule could be broken, or an RPC be left without an answer.
+    /// Whether something is open: dropping the core now could break a rule or leave an RPC without an answer.
     pub fn open(&self, now: Duration) -> bool {
         self.core.counts().held > 0 || now < self.closed() || self.core.keys_open()
     }
 
-    /// Why it is held no longer, where that is so.
+    /// Why the service is to be dropped now, if it is.
     pub fn over(&self, now: Duration, rest: Duration) -> Option<Dropped> {
         let why = match (self.retired, self.refused) {
             (true, _) => Dropped::NotNamed,
@@ -181,7 +183,7 @@
         Some(why).filter(|_| !self.open(now))
     }
 
-    /// Settles when it must be looked at next, its place among those that leave, and its size.
+    /// Updates when the service is due, its place in the eviction order, and its memory estimate.
     pub fn plan(&mut self, now: Duration, rest: Duration) {
         let held = self.core.counts().held > 0;
         let still = !held && self.followed && !self.trial && self.core.held_back.is_none();
@@ -197,14 +199,14 @@
     }
 
     /// # Errors
-    /// More names than a core may meet.
+    /// The core would have more method names than it may.
     pub fn may_renew(&self, others: &Others) -> Result<(), String> {
         let known: BTreeSet<&str> = self.core.terms.methods.iter().collect();
         let new = others.methods(&self.name).iter().filter(|m| !known.contains(&m.0[..])).count();
         let name = &self.name;
         match known.len() + new > MOST_METHODS {
             true => Err(format!(
-                "more than {MOST_METHODS} methods of service {name:?} since it is held; restart this marshal"
+                "more than {MOST_METHODS} distinct methods of service {name:?} while it is held; restart this marshal"
             )),
             false => Ok(()),
         }
@@ -212,7 +214,8 @@
 
     pub fn renew(&mut self, others: &Others) {
         self.retired = others.methods(&self.name).is_empty();
-        // All that could be refused was asked for before; else its earlier terms stay, and it is dropped.
+        // `may_renew` has excluded the errors. If one occurs all the same, the earlier config stays and the
+        // service is dropped.
         self.retired |= self.core.renew(others.cut(&self.name)).is_err();
     }
 }
--- a/crates/marshal/src/wall_clock.rs
+++ b/crates/marshal/src/wall_clock.rs
@@ -1,14 +1,14 @@
-//! Times that others give by the wall clock, which may step while the marshal runs.
+//! Converts wall clock times given by others. The wall clock may step while the marshal runs.
 
 use std::time::Duration;
 
-/// Smaller differences are the clock being steered, and rounding.
+/// Smaller differences are clock slewing and rounding, not a step.
 const STEP_MS: u64 = 500;
 
-/// Steps that are remembered.
+/// Number of clock offsets remembered.
 const MOST_STEPS: usize = 8;
 
-/// How the wall clock has stood to the marshal's own time, in Unix milliseconds of its zero, the latest last.
+/// Offsets of the wall clock to the marshal's own time, as Unix milliseconds of its zero, the latest last.
 pub struct WallClock {
     zeros_ms: Vec<u64>,
 }
@@ -18,6 +18,7 @@
         WallClock { zeros_ms: vec![zero_ms] }
     }
 
+    /// Records the current offset, if it differs from all known ones by a step.
     pub fn read(&mut self, zero_ms: u64) {
         if self.zeros_ms.iter().any(|known| known.abs_diff(zero_ms) <= STEP_MS) {
             return;
@@ -28,9 +29,9 @@
         self.zeros_ms.push(zero_ms);
     }
 
-    /// A past time of ours for a time that another gave, by the clock as it stood before or after a step: the latest that
-    /// can be, so that a process is taken as young rather than as warm. A time that lies ahead by any is given as the
-    /// least of those; none where it lies before our zero.
+    /// Converts a Unix time given by another process to the marshal's time, by each known offset. Returns the
+    /// latest result that is not in the future, so that a process counts as young (cold) rather than warm. If
+    /// all results lie in the future, returns the earliest; `None` if all lie before zero.
     pub fn past(&self, now: Duration, unix_ms: u64) -> Option<Duration> {
         let times = || {
             let since = |zero: &u64| Some(Duration::from_millis(unix_ms.checked_sub(*zero)?));
--- a/crates/marshal/src/wall_clock/tests.rs
+++ b/crates/marshal/src/wall_clock/tests.rs
@@ -14,7 +14,7 @@
         let now = seconds(90_000);
         let zero = ZERO_MS.checked_add_signed(step).unwrap();
         clock.read(zero);
-        // It started 3 s ago, by the clock as it stands now.
+        // It started 3 s ago by the current wall clock.
         let started = zero + 90_000_000 - 3000;
         assert_eq!(clock.past(now, started), Some(now - seconds(3)), "{name}");
     }
--- a/crates/marshal/tests/listed/mod.rs
+++ b/crates/marshal/tests/listed/mod.rs
@@ -1,7 +1,8 @@
-//! A node as the list has it.
+//! Node list entries for the tests.
 
 use ivydrift_wire::list::{Listed, State};
 
+/// A ready node at 127.0.0.1 in zone `site-a`.
 pub fn node(port: u16, build: u32) -> Listed {
     Listed {
         host: "127.0.0.1".into(),
--- a/crates/marshal/tests/services/mixes.rs
+++ b/crates/marshal/tests/services/mixes.rs
@@ -1,12 +1,12 @@
-//! Seeded mixes of RPCs over services whose lists come late, are lost or never come, with drops, returns, new terms and
-//! clients that leave. The bed checks the laws after every step.
+//! Seeded random mixes of RPCs over services whose node lists come late, are lost or never come, with drops,
+//! returns, config changes and clients that disconnect. The harness checks the invariants after every step.
 
 use ivydrift_marshal::Saw;
 
 use super::bed::*;
 use super::listed::node;
 
-/// Chance by a seed: xorshift.
+/// Seeded random numbers (xorshift).
 struct Chance(u64);
 
 impl Chance {
@@ -25,7 +25,7 @@
     let port = |i: u64| 10_000 + 20 * n as u16 + i as u16;
     let old = (0..chance.below(4)).map(|i| node(port(i), 1));
     let mut nodes: Vec<_> = old.chain((0..1 + chance.below(4)).map(|i| node(port(10 + i), 2))).collect();
-    // Some cells of services are as large as the bound allows for a few.
+    // Some services are so large that the memory limit allows only a few of them.
     if chance.one_in(12) {
         nodes.extend((0..150).map(|i| node(30_000 + i, 1)));
     }
@@ -37,7 +37,7 @@
     Manner { list, torn: chance.one_in(2), desk, stage, nodes, takes, saw }
 }
 
-/// Runs of each kind, so that a mix which no longer does what it is for is seen.
+/// Events counted over all mixes, to notice if the mixes no longer exercise what they are meant to.
 #[derive(Default, Debug)]
 struct Done {
     ok: usize,
@@ -59,7 +59,7 @@
     bed.again = chance.one_in(2).then_some(3000);
     let mut ids = vec![];
     for _ in 0..150 {
-        // A few services are asked most of the time, the rest now and then.
+        // Two services get most RPCs, the others few.
         let of = if chance.one_in(3) { chance.below(count as u64) } else { chance.below(2) };
         let what = ["read", "read", "save", "book"][chance.below(4) as usize];
         let key = chance.one_in(2).then(|| chance.below(6));
@@ -76,7 +76,7 @@
             }
             2 => bed.manners.get_mut(&name).unwrap().list = Some(30),
             3 => {
-                // Some services go, and come back with the next such step.
+                // Some services are removed, and return at the next such step.
                 let kept: Vec<_> = all.iter().filter(|_| !chance.one_in(4)).cloned().collect();
                 bed.renew(terms(&kept, &block, release)).unwrap();
                 done.renewed += 1;
@@ -99,7 +99,7 @@
 fn mixes_keep_the_laws() {
     let mut done = Done::default();
     for seed in 1..=400 {
-        // A seed that fails is named by the panic's hook only; say it first.
+        // Names the seed that fails; the panic message itself does not.
         let run = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| mix(seed, &mut done)));
         assert!(run.is_ok(), "seed {seed}");
     }
