--- a/crates/marshal/src/directory/part.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -11,76 +11,77 @@
 
 /// The nodes of a marshal that has been dead for this long are taken over by others. A restart takes less
 /// time, so it moves no nodes.
-pub const DEAD: Duration = Duration::from_secs(30);
+pub const DEAD_AFTER: Duration = Duration::from_secs(30);
 /// Interval for updating the RPC rate and the dead marshals.
-const LOOK: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// Time constant of the RPC rate's exponential moving average, in seconds.
-const MEAN: f64 = 10.0;
+const RATE_TIME_CONSTANT_S: f64 = 10.0;
 
 /// This marshal's subset of a large node list.
-pub struct Part {
+pub struct Subset {
     fleet: Fleet,
     size: Size,
     memory: Memory,
-    /// Age from which a node counts as warm and needs no budget; `window` is the budget's window.
-    warm: Duration,
-    window: Duration,
+    /// Age from which a node counts as warm and needs no budget; `budget_window` is the budget's window.
+    warm_age: Duration,
+    budget_window: Duration,
     /// Cold nodes whose first use is delayed, with the time it ends.
-    late: HashMap<SocketAddr, Duration>,
-    looked: Option<Duration>,
-    taken: u64,
+    delayed: HashMap<SocketAddr, Duration>,
+    last_refresh: Option<Duration>,
+    rpcs_seen: u64,
     rate: f64,
 }
 
-impl Part {
+impl Subset {
     pub fn new(terms: &Terms) -> Option<Self> {
         let (subset, rollout) = (terms.subset.as_ref()?, &terms.rollout);
         let counts = &subset.marshals[..];
         let fleet = Fleet::new(rollout.marshal, rollout.marshals, rollout.zone, counts, &terms.regions);
-        Some(Part {
+        Some(Subset {
             fleet,
             size: Size::new(subset.least),
             memory: Memory::default(),
-            warm: rollout.rules.warm_within + rollout.rules.fall_window,
-            window: rollout.rules.fall_window,
-            late: HashMap::new(),
-            looked: None,
-            taken: 0,
+            warm_age: rollout.rules.warm_within + rollout.rules.fall_window,
+            budget_window: rollout.rules.fall_window,
+            delayed: HashMap::new(),
+            last_refresh: None,
+            rpcs_seen: 0,
             rate: 0.0,
         })
     }
 
-    /// Takes a new config; the RPC rate and the dead marshals stay known.
-    pub fn renew(&mut self, new: Part) {
-        let (looked, taken, rate, late) =
-            (self.looked, self.taken, self.rate, std::mem::take(&mut self.late));
-        *self = Part { looked, taken, rate, late, ..new };
-        self.looked = self.looked.map(|at| at.saturating_sub(LOOK));
+    /// Takes a new config. The RPC rate is kept; the dead marshals are read again at the next refresh.
+    pub fn renew(&mut self, new: Subset) {
+        let (last_refresh, rpcs_seen, rate, delayed) =
+            (self.last_refresh, self.rpcs_seen, self.rate, std::mem::take(&mut self.delayed));
+        *self = Subset { last_refresh, rpcs_seen, rate, delayed, ..new };
+        self.last_refresh = self.last_refresh.map(|at| at.saturating_sub(REFRESH_INTERVAL));
     }
 
     /// Returns true if the subset may have changed: by the RPC rate, by a marshal that died or came back, or
     /// by a delay that is over.
-    pub fn look(&mut self, now: Duration, taken: u64, dead: impl FnOnce() -> Vec<usize>) -> bool {
-        let mut news = self.late.values().any(|until| *until <= now);
-        let since = *self.looked.get_or_insert(now);
-        if now >= since + LOOK {
+    pub fn refresh(&mut self, now: Duration, taken: u64, dead: impl FnOnce() -> Vec<usize>) -> bool {
+        let mut changed = self.delayed.values().any(|until| *until <= now);
+        let since = *self.last_refresh.get_or_insert(now);
+        if now >= since + REFRESH_INTERVAL {
             let span = (now - since).as_secs_f64();
-            let rate = taken.saturating_sub(self.taken) as f64 / span;
-            self.rate += (rate - self.rate) * (span / MEAN).min(1.0);
-            (self.looked, self.taken) = (Some(now), taken);
-            news |= self.size.look(now, self.rate);
-            news |= self.fleet.bury(dead());
+            let rate = taken.saturating_sub(self.rpcs_seen) as f64 / span;
+            self.rate += (rate - self.rate) * (span / RATE_TIME_CONSTANT_S).min(1.0);
+            (self.last_refresh, self.rpcs_seen) = (Some(now), taken);
+            changed |= self.size.look(now, self.rate);
+            changed |= self.fleet.bury(dead());
         }
-        news
+        changed
     }
 
-    /// Chooses the subset: whether each listed node is in it. `before`: the policy already knows the node, or
-    /// it was not listed until now.
+    /// Chooses the subset: whether each listed node is in it. `needs_no_delay`: the policy already knows the
+    /// node, or it was not listed until now.
     ///
     /// A cold node that other marshals have served until now is delayed by one whole window of its budget:
     /// what this marshal and its predecessors sent there is unknown, so the budget counts as used up.
-    pub fn draw(
-        &mut self, now: Duration, listed: &[(SocketAddr, NodeEntry)], before: impl Fn(&SocketAddr) -> bool,
+    pub fn select(
+        &mut self, now: Duration, listed: &[(SocketAddr, NodeEntry)],
+        needs_no_delay: impl Fn(&SocketAddr) -> bool,
     ) -> (Vec<bool>, Sight) {
         let newest = listed.iter().map(|(_, e)| e.build).max().unwrap_or(0);
         let node = |(_, e): &(SocketAddr, NodeEntry)| Node {
@@ -92,22 +93,22 @@
         let nodes: Vec<Node> = listed.iter().map(node).collect();
         let choice = choose_again(&self.fleet, &nodes, self.size.want(), &mut self.memory);
         let mut held = choice.held;
-        let mut late = HashMap::new();
+        let mut delayed = HashMap::new();
         for ((addr, entry), held) in listed.iter().zip(&mut held).filter(|(_, held)| **held) {
-            let cold = entry.started.is_some_and(|at| now.saturating_sub(at) < self.warm);
-            if !cold || before(addr) {
+            let cold = entry.started.is_some_and(|at| now.saturating_sub(at) < self.warm_age);
+            if !cold || needs_no_delay(addr) {
                 continue;
             }
-            let until = self.late.get(addr).copied().unwrap_or(now + self.window);
+            let until = self.delayed.get(addr).copied().unwrap_or(now + self.budget_window);
             if now < until {
-                late.insert(*addr, until);
+                delayed.insert(*addr, until);
                 *held = false;
             }
         }
-        let seen = if late.is_empty() { choice.seen } else { seen(&nodes, &held) };
-        self.late = late;
+        let seen = if delayed.is_empty() { choice.seen } else { seen(&nodes, &held) };
+        self.delayed = delayed;
         let sight = Sight { newest, seen, holders: choice.holders };
-        let whole = (seen, choice.holders) == ([1.0; 2], [1.0; 2]);
-        (held, if whole { Sight::default() } else { sight })
+        let sees_all = (seen, choice.holders) == ([1.0; 2], [1.0; 2]);
+        (held, if sees_all { Sight::default() } else { sight })
     }
 }
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -8,14 +8,14 @@
 //! cannot be sent again ends with its pick.
 #![forbid(unsafe_code)]
 
-mod admission;
-mod desk;
+mod config_update;
 mod directory;
-mod listing;
+mod messages;
+mod node_list;
 mod peers;
-mod renewal;
+mod rollout;
 mod rpcs;
-mod said;
+mod send_check;
 mod services;
 mod wall_clock;
 
@@ -25,16 +25,16 @@
 use ivydrift_policy::port::*;
 use ivydrift_policy::Marshal;
 use ivydrift_terms::Terms;
-use ivydrift_wire::{desk as desk_words, peer};
+use ivydrift_wire::{desk, peer};
 
-pub use admission::Withheld;
 use directory::Directory;
 pub use directory::Rejected;
 pub use ivydrift_policy::port::{DiscoverySign, Outcome, Repeat};
+pub use messages::{Ballot, Call, Counts, Id, Input, Order, Saw, Why};
 use peers::Peers;
 use rpcs::Rpcs;
-pub use said::{Ballot, Call, Counts, Id, Input, Order, Saw, Why};
-pub use services::{Dropped, Hold, Holding, Said, Services, HOME};
+pub use send_check::Withheld;
+pub use services::{Dropped, Hold, Said, ServiceState, Services, HOME};
 use wall_clock::WallClock;
 
 /// State of one service: RPC table, node list, timers and the policy. All times are offsets from the I/O
@@ -44,27 +44,27 @@
     terms: Terms,
     directory: Directory,
     rpcs: Rpcs,
-    wakes: BTreeSet<(Duration, u64)>,
+    timers: BTreeSet<(Duration, u64)>,
     counts: Counts,
     /// Unix time of the I/O layer's zero in milliseconds, as read at the start.
     zero_ms: u64,
     wall_clock: WallClock,
-    held_back: Option<HeldBack>,
-    desk_heard: bool,
-    standing: desk::Standing,
+    pending_nodes: Option<PendingNodes>,
+    controller_heard: bool,
+    rollout_status: rollout::RolloutStatus,
     /// Whether RPCs of a method are accepted, by method index. A method of an earlier config may be gone
     /// while RPCs of it are still in flight.
-    offered: Vec<bool>,
+    method_enabled: Vec<bool>,
     /// Membership among the marshals; `None` before the first call and where the config allows no peers.
     peers: Option<Peers>,
     /// Numbers of the dead marshals, for a core without peers; another core of this process supplies them.
-    buried: Vec<usize>,
-    begun: bool,
+    dead_marshals: Vec<usize>,
+    started: bool,
     program: String,
 }
 
 /// Node events that arrived before the rollout controller's first message. The policy receives them after it.
-struct HeldBack {
+struct PendingNodes {
     /// Arrival time of the first of them.
     since: Duration,
     events: Vec<Event>,
@@ -73,11 +73,11 @@
 /// Without a message from the rollout controller a marshal does not know which build is on trial. After this
 /// time the oldest listed build counts as released, so that all later builds are limited to the first stage's
 /// cap.
-const DESK_PATIENCE: Duration = Duration::from_secs(2);
+const CONTROLLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Upper bound on how long after an RPC's deadline the core waits for the policy to answer before it aborts
 /// the RPC. The rest of the reserve is left for sending the answer.
-const OVERDUE: Duration = Duration::from_millis(5);
+const POLICY_GRACE: Duration = Duration::from_millis(5);
 
 impl Core {
     /// `zero_ms` is the Unix time of the I/O layer's zero in milliseconds. Zero must lie well before the
@@ -87,17 +87,17 @@
             policy: Marshal::new(&terms.rollout),
             directory: Directory::new(&terms),
             rpcs: Rpcs::default(),
-            wakes: BTreeSet::new(),
+            timers: BTreeSet::new(),
             counts: Counts::default(),
             zero_ms,
             wall_clock: WallClock::new(zero_ms),
-            held_back: None,
-            desk_heard: false,
-            standing: desk::Standing::default(),
-            offered: vec![true; terms.methods.len()],
+            pending_nodes: None,
+            controller_heard: false,
+            rollout_status: rollout::RolloutStatus::default(),
+            method_enabled: vec![true; terms.methods.len()],
             peers: None,
-            buried: Vec::new(),
-            begun: false,
+            dead_marshals: Vec::new(),
+            started: false,
             program: String::new(),
             terms,
         }
@@ -106,7 +106,7 @@
     /// Updates the Unix time of the I/O layer's zero (milliseconds) from the current wall clock, which may
     /// have stepped.
     pub fn read_wall_clock(&mut self, zero_ms: u64) {
-        self.wall_clock.read(zero_ms);
+        self.wall_clock.record(zero_ms);
     }
 
     /// Sets the program name announced to the other marshals. Call it before the first [`Core::handle`].
@@ -114,14 +114,14 @@
         self.program = program;
     }
 
-    /// Numbers of the marshals that have been dead for [`directory::DEAD`].
-    fn dead(&self, now: Duration) -> Vec<usize> {
-        dead(&self.peers, &self.buried, now)
+    /// Numbers of the marshals that have been dead for [`directory::DEAD_AFTER`].
+    fn dead_marshals(&self, now: Duration) -> Vec<usize> {
+        long_dead(&self.peers, &self.dead_marshals, now)
     }
 
     /// Sets the dead marshals for a core without peers.
-    fn bury(&mut self, dead: &[usize]) {
-        self.buried = dead.to_vec();
+    fn set_dead_marshals(&mut self, dead: &[usize]) {
+        self.dead_marshals = dead.to_vec();
     }
 
     /// Counters since the start; `held` is the number of RPCs in the table now.
@@ -130,13 +130,13 @@
     }
 
     /// Bytes that the policy has allocated for evidence by method. A method without RPCs takes none.
-    pub fn laid_out(&self) -> usize {
+    pub fn evidence_bytes(&self) -> usize {
         self.policy.laid_out()
     }
 
     /// Number of ready nodes that the policy knows of; 0 while node events wait for the rollout controller.
     pub fn ready(&self) -> usize {
-        if self.held_back.is_some() {
+        if self.pending_nodes.is_some() {
             return 0;
         }
         self.directory.ready()
@@ -149,76 +149,76 @@
 
     /// When [`Input::Tick`] is due next.
     pub fn due(&self) -> Duration {
-        let wake = self.wakes.first().map(|w| w.0);
+        let wake = self.timers.first().map(|timer| timer.0);
         let overdue = self.rpcs.first_overdue();
-        let held_back = self.held_back.as_ref().map(|held| held.since + DESK_PATIENCE);
+        let pending_nodes = self.pending_nodes.as_ref().map(|pending| pending.since + CONTROLLER_TIMEOUT);
         let peers = self.peers.as_ref().map(Peers::due);
-        wake.into_iter().chain(overdue).chain(held_back).chain(peers).min().unwrap_or(Duration::ZERO)
+        wake.into_iter().chain(overdue).chain(pending_nodes).chain(peers).min().unwrap_or(Duration::ZERO)
     }
 
     /// Processes one input and returns the commands to carry out, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut events = Vec::new();
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.started, true) {
             // Zero lies at a fixed span before each start, so a later start has a larger `zero_ms`.
             self.peers = Peers::new(&self.terms, &self.program, self.zero_ms, now);
         }
-        self.read(now, input, &mut events, &mut orders);
+        self.dispatch(now, input, &mut events, &mut orders);
         // The policy must be called once before any event, to set its timers.
-        while self.act(now, std::mem::take(&mut events), &mut events, &mut orders) {}
+        while self.run_policy(now, std::mem::take(&mut events), &mut events, &mut orders) {}
         orders
     }
 
-    fn read(&mut self, now: Duration, input: Input, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
+    fn dispatch(&mut self, now: Duration, input: Input, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
         match input {
-            Input::Rpc { id, call } => self.take(now, id, call, events, orders),
+            Input::Rpc { id, call } => self.accept_rpc(now, id, call, events, orders),
             Input::Began { id, pick } => {
-                if let Some((rpc, sent)) = self.rpcs.begin(id, pick) {
+                if let Some((rpc, sent)) = self.rpcs.begin_stream(id, pick) {
                     let (node, took) = (sent.node, now.saturating_sub(sent.at));
                     events.push(Event::StreamBegun { rpc, pick, node, took });
                     self.counts.ok += 1;
                     orders.push(Order::Pass { id, pick, picks: sent.picks, build: sent.build });
                 }
             }
-            Input::Ended { id, pick, saw } => self.ended(now, id, pick, saw, events, orders),
-            Input::Drawn { id, pick, waited } => self.rpcs.draw(id, pick, waited),
+            Input::Ended { id, pick, saw } => self.end_pick(now, id, pick, saw, events, orders),
+            Input::Drawn { id, pick, waited } => self.rpcs.consume_body(id, pick, waited),
             Input::ClientLeft { id } => {
-                let Some(left) = self.rpcs.leave(id) else { return };
+                let Some(disconnected) = self.rpcs.disconnect(id) else { return };
                 self.counts.left += 1;
-                events.push(Event::ClientLeft { rpc: left.rpc });
+                events.push(Event::ClientLeft { rpc: disconnected.rpc });
                 if self.terms.rollout.limits.cancel {
-                    orders.extend(left.out.into_iter().map(|pick| Order::Sever { id, pick }));
+                    orders.extend(disconnected.in_flight.into_iter().map(|pick| Order::Sever { id, pick }));
                 }
             }
             Input::Membership(nodes) => {
-                let told = self.directory.take(now, &self.wall_clock, nodes);
-                self.relist(now, told, events, orders);
+                let node_events = self.directory.apply_list(now, &self.wall_clock, nodes);
+                self.apply_node_events(now, node_events, events, orders);
             }
             Input::Known(nodes) => {
-                self.directory.take(now, &self.wall_clock, nodes);
-                self.recall(now, events);
+                self.directory.apply_list(now, &self.wall_clock, nodes);
+                self.load_saved_nodes(now, events);
             }
             Input::MembershipLost => events.push(Event::Nodes { scope: Scope::Failed, nodes: vec![] }),
             Input::Discovery(sign) => events.push(Event::Discovery(sign)),
             Input::News(news) => {
-                self.news(now, news, events);
+                self.apply_rollout_update(now, news, events);
                 if news.stage.is_some() {
-                    self.desk_heard = true;
-                    events.extend(self.held_back.take().into_iter().flat_map(|held| held.events));
+                    self.controller_heard = true;
+                    events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                 }
             }
-            Input::Voted(ballot) => events.extend(self.voted(now, ballot)),
+            Input::Voted(ballot) => events.extend(self.vote_event(now, ballot)),
             Input::Peer(datagram) => {
                 let terms = &self.terms.rollout;
                 let other = |from| from < terms.marshals && from != terms.marshal;
-                let read = peer::read(datagram).filter(|(_, from, _)| other(usize::from(*from)));
-                match (read, &mut self.peers) {
+                let message = peer::read(datagram).filter(|(_, from, _)| other(usize::from(*from)));
+                match (message, &mut self.peers) {
                     (Some((peer::Kind::Policy, from, text)), _) => {
                         events.push(Event::Peer { from: from.into(), text: text.to_vec() });
                     }
                     (Some((peer::Kind::Members, from, bytes)), Some(peers)) => {
-                        orders.extend(peers.hear(now, from, bytes));
+                        orders.extend(peers.receive(now, from, bytes));
                     }
                     _ => {}
                 }
@@ -227,29 +227,33 @@
                 orders.extend(self.peers.as_mut().into_iter().flat_map(|p| p.leave(now)));
             }
             Input::Tick => {
-                if self.held_back.as_ref().is_some_and(|held| now >= held.since + DESK_PATIENCE) {
+                if self
+                    .pending_nodes
+                    .as_ref()
+                    .is_some_and(|pending| now >= pending.since + CONTROLLER_TIMEOUT)
+                {
                     let (course, reply) = (Course::Released, VoteReply::Unasked);
-                    let (build, stage, age) = (self.directory.oldest(), 0, Duration::ZERO);
+                    let (build, stage, age) = (self.directory.oldest_build(), 0, Duration::ZERO);
                     events.push(Event::Stage { build, stage, course, reply, cap: 1.0, age });
-                    events.extend(self.held_back.take().into_iter().flat_map(|held| held.events));
-                    self.desk_heard = true;
+                    events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
+                    self.controller_heard = true;
                     let line = "no message from the rollout controller; treating the oldest listed build as released";
                     orders.push(Order::Log(line.to_owned()));
                 }
-                while let Some(&(at, tag)) = self.wakes.first().filter(|w| w.0 <= now) {
-                    self.wakes.remove(&(at, tag));
+                while let Some(&(at, tag)) = self.timers.first().filter(|timer| timer.0 <= now) {
+                    self.timers.remove(&(at, tag));
                     events.push(Event::Timer { tag });
                 }
-                let (peers, buried) = (&self.peers, &self.buried);
-                let dead = || dead(peers, buried, now);
-                let told = self.directory.look(now, self.counts.rpcs, dead);
-                self.relist(now, told, events, orders);
+                let (peers, known_dead) = (&self.peers, &self.dead_marshals);
+                let dead = || long_dead(peers, known_dead, now);
+                let node_events = self.directory.refresh_subset(now, self.counts.rpcs, dead);
+                self.apply_node_events(now, node_events, events, orders);
                 if let Some(peers) = &mut self.peers {
-                    let about = || about(&self.terms, &self.directory);
-                    orders.extend(peers.tick(now, about, self.counts.rpcs));
+                    let record = || own_record(&self.terms, &self.directory);
+                    orders.extend(peers.tick(now, record, self.counts.rpcs));
                 }
                 for id in self.rpcs.overdue(now) {
-                    self.overdue(now, id, events, orders);
+                    self.abort_overdue(now, id, events, orders);
                 }
             }
         }
@@ -261,9 +265,11 @@
         self.peers.as_ref().map(|p| p.view(now, first))
     }
 
-    fn take(&mut self, now: Duration, id: Id, call: Call, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
+    fn accept_rpc(
+        &mut self, now: Duration, id: Id, call: Call, events: &mut Vec<Event>, orders: &mut Vec<Order>,
+    ) {
         let known = self.terms.methods.find(call.method);
-        let Some(method) = known.filter(|&method| self.offered[method]) else {
+        let Some(method) = known.filter(|&method| self.method_enabled[method]) else {
             self.counts.rejected += 1;
             orders.push(Order::Reject {
                 id,
@@ -284,14 +290,14 @@
         let reserve = self.terms.bounds.reserve.min(left / 4);
         let left = left.saturating_sub(reserve);
         let tenant = call.tenant.and_then(|name| self.terms.tenants.find(name));
-        let careful = terms.repeat == Repeat::NonIdempotent;
-        let rpc = self.rpcs.take(id, now + left + OVERDUE.min(reserve / 2), careful);
+        let at_most_once = terms.repeat == Repeat::NonIdempotent;
+        let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(reserve / 2), at_most_once);
         self.counts.rpcs += 1;
         let (key, repeated) = (call.key, call.repeated);
         events.push(Event::Rpc { rpc, method, tenant, key, left, work: None, repeated });
     }
 
-    fn ended(
+    fn end_pick(
         &mut self, now: Duration, id: Id, pick: usize, saw: Saw, events: &mut Vec<Event>,
         orders: &mut Vec<Order>,
     ) {
@@ -299,22 +305,22 @@
         // A second report of a pick, or a report of a pick that was already cancelled, is ignored.
         let Some(end) = self.rpcs.end_pick(id, pick, outcome == Outcome::Ok) else { return };
         let took = now.saturating_sub(end.sent.at);
-        if outcome == Outcome::Ok && end.wins {
+        if outcome == Outcome::Ok && end.is_final {
             self.counts.ok += 1;
             orders.push(Order::Pass { id, pick, picks: end.sent.picks, build: end.sent.build });
         }
         if end.streaming && outcome != Outcome::Ok {
             orders.push(Order::BreakOff { id });
         }
-        let (rpc, node, load, done) = (end.rpc, end.sent.node, saw.load(), end.done || end.spent);
-        self.rpcs.note(id, outcome);
-        if end.spent {
+        let (rpc, node, load, done) = (end.rpc, end.sent.node, saw.load(), end.done || end.cannot_retry);
+        self.rpcs.record_outcome(id, outcome);
+        if end.cannot_retry {
             // The RPC cannot be sent again, so there is nothing for the policy to decide: to the policy it is
             // over.
             events.push(Event::ClientLeft { rpc });
-            let unseen = matches!(outcome, Outcome::Full | Outcome::NoConnection);
-            if let Some((id, picks, why)) = self.rpcs.answer(rpc) {
-                orders.push(if unseen {
+            let never_ran = matches!(outcome, Outcome::Full | Outcome::NoConnection);
+            if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
+                orders.push(if never_ran {
                     self.counts.pushed_back += 1;
                     let retry_after = self.terms.rollout.limits.retry_after;
                     Order::PushBack { id, picks, retry_after, why }
@@ -325,18 +331,18 @@
             }
         }
         events.push(Event::PickEnded { rpc, pick, node, outcome, took, done, load });
-        self.rpcs.sweep(id);
+        self.rpcs.remove_if_done(id);
     }
 
     /// Aborts an RPC that the policy did not answer in time, so that it does not stay without an answer.
-    fn overdue(&mut self, now: Duration, id: Id, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
-        let Some(late) = self.rpcs.cut(id) else { return };
-        let (picks, why) = (late.picks, late.why);
+    fn abort_overdue(&mut self, now: Duration, id: Id, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
+        let Some(aborted) = self.rpcs.abort(id) else { return };
+        let (picks, why) = (aborted.picks, aborted.why);
         self.counts.overdue += 1;
         self.counts.aborted += 1;
-        events.push(Event::ClientLeft { rpc: late.rpc });
-        for (pick, sent) in late.out {
-            let (rpc, node, took) = (late.rpc, sent.node, now.saturating_sub(sent.at));
+        events.push(Event::ClientLeft { rpc: aborted.rpc });
+        for (pick, sent) in aborted.in_flight {
+            let (rpc, node, took) = (aborted.rpc, sent.node, now.saturating_sub(sent.at));
             let (outcome, load) = (Outcome::Timeout, Load::default());
             events.push(Event::PickEnded { rpc, pick, node, outcome, took, done: true, load });
             orders.push(Order::Sever { id, pick });
@@ -345,54 +351,54 @@
     }
 
     /// Passes events to the policy and turns its actions into commands; true if that produced new events.
-    fn act(
+    fn run_policy(
         &mut self, now: Duration, events: Vec<Event>, more: &mut Vec<Event>, orders: &mut Vec<Order>,
     ) -> bool {
         for action in self.policy.handle(now, events) {
             match action {
-                Action::Pick { rpc, node, within } => self.pick(now, rpc, node, within, more, orders),
+                Action::Pick { rpc, node, within } => self.start_pick(now, rpc, node, within, more, orders),
                 Action::PushBack { rpc, retry_after } => {
-                    if let Some((id, picks, why)) = self.rpcs.answer(rpc) {
+                    if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
                         self.counts.pushed_back += 1;
                         orders.push(Order::PushBack { id, picks, retry_after, why });
                     }
                 }
                 Action::Abort { rpc } => {
-                    if let Some((id, picks, why)) = self.rpcs.answer(rpc) {
+                    if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
                         self.counts.aborted += 1;
                         orders.push(Order::Abort { id, picks, why });
                     }
                 }
                 Action::Cancel { rpc, pick } => {
-                    orders.extend(self.rpcs.id(rpc).map(|id| Order::Sever { id, pick }));
+                    orders.extend(self.rpcs.id_of(rpc).map(|id| Order::Sever { id, pick }));
                 }
                 Action::Wake { after, tag } => {
-                    self.wakes.insert((now + after, tag));
+                    self.timers.insert((now + after, tag));
                 }
                 Action::CloseIdle { node } => {
                     orders.extend(self.directory.addr(node).map(|node| Order::CloseIdle { node }));
                 }
-                Action::Tell { to, text } => self.tell(to, &text, orders),
+                Action::Tell { to, text } => self.send_to_peers(to, &text, orders),
                 Action::Log(line) => orders.push(Order::Log(line)),
                 Action::Subscribe(true) | Action::FetchList => orders.push(Order::FollowMembership),
                 // Unsubscribing and probing are not implemented here; `terms.probes` is never set.
                 Action::Subscribe(false) | Action::Probe { .. } => {}
                 Action::Vote { verdict, stage, build } => {
                     let verdict = match verdict {
-                        Verdict::None => desk_words::Verdict::None,
-                        Verdict::On => desk_words::Verdict::On,
-                        Verdict::Hold => desk_words::Verdict::Hold,
-                        Verdict::Back => desk_words::Verdict::Back,
+                        Verdict::None => desk::Verdict::None,
+                        Verdict::On => desk::Verdict::On,
+                        Verdict::Hold => desk::Verdict::Hold,
+                        Verdict::Back => desk::Verdict::Back,
                     };
                     let (marshal, stage) = (self.terms.rollout.marshal as u32, stage as u32);
-                    orders.push(Order::Vote(desk_words::Vote { marshal, verdict, stage, build }));
+                    orders.push(Order::Vote(desk::Vote { marshal, verdict, stage, build }));
                 }
             }
         }
         !more.is_empty()
     }
 
-    fn pick(
+    fn start_pick(
         &mut self, now: Duration, rpc: RpcIx, node: NodeIx, within: Duration, more: &mut Vec<Event>,
         orders: &mut Vec<Order>,
     ) {
@@ -400,10 +406,10 @@
         let Some((id, pick)) = self.rpcs.send(rpc, node, build, now) else {
             return;
         };
-        match (self.rpcs.open(id), self.directory.addr(node)) {
+        match (self.rpcs.needs_answer(id), self.directory.addr(node)) {
             (true, Some(addr)) => {
                 self.counts.picks += 1;
-                let careful = self.rpcs.careful(id);
+                let careful = self.rpcs.at_most_once(id);
                 orders.push(Order::Pick { id, pick, node: addr, by: now + within, careful });
             }
             _ => {
@@ -413,29 +419,29 @@
                 let (outcome, load) = (Outcome::Moot, Load::default());
                 let took = Duration::ZERO;
                 more.push(Event::PickEnded { rpc, pick, node, outcome, took, done: true, load });
-                self.rpcs.sweep(id);
+                self.rpcs.remove_if_done(id);
             }
         }
     }
 
-    fn tell(&self, to: Option<usize>, text: &[u8], orders: &mut Vec<Order>) {
+    fn send_to_peers(&self, to: Option<usize>, text: &[u8], orders: &mut Vec<Order>) {
         let own = self.terms.rollout.marshal;
         let Some(datagram) = peer::write(peer::Kind::Policy, own as u16, text) else { return };
         let all = 0..self.terms.places.peers.len();
-        for to in all.filter(|&n| n != own && to.is_none_or(|one| one == n)) {
+        for to in all.filter(|&n| n != own && to.is_none_or(|wanted| wanted == n)) {
             orders.push(Order::Tell { to, datagram: datagram.clone() });
         }
     }
 }
 
-/// Numbers of the marshals that have been dead for [`directory::DEAD`]; `buried` where this core has no
-/// peers.
-fn dead(peers: &Option<Peers>, buried: &[usize], now: Duration) -> Vec<usize> {
-    peers.as_ref().map_or_else(|| buried.to_vec(), |p| p.dead(now, directory::DEAD))
+/// Numbers of the marshals that have been dead for [`directory::DEAD_AFTER`]; `known_dead` where this
+/// core has no peers.
+fn long_dead(peers: &Option<Peers>, known_dead: &[usize], now: Duration) -> Vec<usize> {
+    peers.as_ref().map_or_else(|| known_dead.to_vec(), |p| p.dead(now, directory::DEAD_AFTER))
 }
 
 /// This marshal's record for the others, without its RPC rate.
-fn about(terms: &Terms, directory: &Directory) -> peer::About {
+fn own_record(terms: &Terms, directory: &Directory) -> peer::About {
     let zone = terms.rollout.zone;
     let region = terms.regions.get(zone).copied().unwrap_or(0);
     let ready = directory.ready().min(u16::MAX.into()) as u16;
--- a/crates/marshal/src/desk.rs
+++ b/crates/marshal/src/rollout.rs
@@ -12,49 +12,51 @@
 /// A status that is behind in a build's rollout and began no more than this later may merely have been
 /// delayed: replies are awaited for less than this. A controller that was really reset reports a status that
 /// began later.
-const WAY: Duration = Duration::from_secs(2);
+const MAX_REORDER_DELAY: Duration = Duration::from_secs(2);
 
 /// The latest rollout status from the controller.
 #[derive(Default)]
-pub(crate) struct Standing(Option<Told>);
+pub(crate) struct RolloutStatus(Option<TimedStage>);
 
 #[derive(Clone, Copy)]
-struct Told {
+struct TimedStage {
     stage: desk::Stage,
     since: Duration,
 }
 
-impl Told {
+impl TimedStage {
     /// Position of the status in a build's rollout, for comparison: trial stages, release, rollback,
     /// withdrawal.
-    fn course(&self) -> (u32, u32, u32) {
-        let at = match self.stage.course {
+    fn progress(&self) -> (u32, u32, u32) {
+        let phase = match self.stage.course {
             desk::Course::OnTrial => 0,
             desk::Course::Released => 1,
             desk::Course::GoingBack => 2,
             desk::Course::Withdrawn => 3,
         };
-        (self.stage.build, at, if at == 0 { self.stage.stage } else { 0 })
+        (self.stage.build, phase, if phase == 0 { self.stage.stage } else { 0 })
     }
 }
 
-impl Standing {
+impl RolloutStatus {
     /// Takes a status that was just read; returns the one in force and its age. A status that is behind in
     /// the build's rollout was overtaken on its way; accepting it would raise a cap that has been lowered.
     /// The reported ages alone do not show this, as each is too small by its transfer time.
-    fn hear(&mut self, now: Duration, stage: &desk::Stage) -> (desk::Stage, Duration) {
-        let new = Told { stage: *stage, since: now.saturating_sub(Duration::from_millis(stage.age_ms)) };
-        let overtaken = |old: &Told| new.course() < old.course() && new.since <= old.since + WAY;
-        let holds = self.0.filter(overtaken).unwrap_or(new);
-        self.0 = Some(holds);
-        (holds.stage, now.saturating_sub(holds.since))
+    fn update(&mut self, now: Duration, stage: &desk::Stage) -> (desk::Stage, Duration) {
+        let new =
+            TimedStage { stage: *stage, since: now.saturating_sub(Duration::from_millis(stage.age_ms)) };
+        let overtaken =
+            |old: &TimedStage| new.progress() < old.progress() && new.since <= old.since + MAX_REORDER_DELAY;
+        let current = self.0.filter(overtaken).unwrap_or(new);
+        self.0 = Some(current);
+        (current.stage, now.saturating_sub(current.since))
     }
 }
 
 impl Core {
-    pub(crate) fn news(&mut self, now: Duration, news: &desk::News, events: &mut Vec<Event>) {
-        let held = news.stage.map(|stage| self.standing.hear(now, &stage));
-        events.extend(held.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unasked)));
+    pub(crate) fn apply_rollout_update(&mut self, now: Duration, news: &desk::News, events: &mut Vec<Event>) {
+        let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
+        events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unasked)));
         let methods = &self.terms.methods;
         for sums in &news.sums {
             let Some(method) = methods.find(&sums.method) else { continue };
@@ -65,34 +67,34 @@
         }
         for disputed in &news.disputed {
             let method = methods.find(&disputed.method);
-            let node = disputed.node.parse().ok().and_then(|addr| self.directory.find(addr));
+            let node = disputed.node.parse().ok().and_then(|addr| self.directory.index_of(addr));
             if let (Some(method), Some(node)) = (method, node) {
                 events.push(Event::Disputed { node, method, age: Duration::from_millis(disputed.age_ms) });
             }
         }
     }
 
-    pub(crate) fn voted(&mut self, now: Duration, ballot: Ballot) -> Option<Event> {
-        let stand = |reply| {
+    pub(crate) fn vote_event(&mut self, now: Duration, answer_to_vote: Ballot) -> Option<Event> {
+        let reply_without_stage = |reply| {
             let (build, stage, course) = (0, 0, Course::Withdrawn);
             Event::Stage { build, stage, course, reply, cap: 0.0, age: Duration::ZERO }
         };
-        Some(match ballot {
+        Some(match answer_to_vote {
             // The policy reads the status only from answers to counted votes.
-            Ballot::Failed => stand(VoteReply::Error),
-            Ballot::Silent => stand(VoteReply::Silent),
+            Ballot::Failed => reply_without_stage(VoteReply::Error),
+            Ballot::Silent => reply_without_stage(VoteReply::Silent),
             // A counted vote comes with the status. Without it, neither is known.
-            Ballot::Refused(desk::Counted::Counts) => stand(VoteReply::Silent),
-            Ballot::Refused(counted) => stand(reply_of(counted)),
+            Ballot::Refused(desk::Counted::Counts) => reply_without_stage(VoteReply::Silent),
+            Ballot::Refused(counted) => reply_without_stage(vote_reply(counted)),
             Ballot::Answered(answer) => {
-                let (stage, age) = self.standing.hear(now, &answer.stage);
-                stage_event(&stage, age, reply_of(answer.counted))
+                let (stage, age) = self.rollout_status.update(now, &answer.stage);
+                stage_event(&stage, age, vote_reply(answer.counted))
             }
         })
     }
 }
 
-fn reply_of(counted: desk::Counted) -> VoteReply {
+fn vote_reply(counted: desk::Counted) -> VoteReply {
     match counted {
         desk::Counted::Counts => VoteReply::Counts,
         desk::Counted::Moot => VoteReply::Moot,
--- a/crates/marshal/src/rpcs.rs
+++ b/crates/marshal/src/rpcs.rs
@@ -9,7 +9,7 @@
 
 /// A pick that was sent. `picks`: number of the RPC's picks so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
+pub struct SentPick {
     pub node: NodeIx,
     pub build: Build,
     pub at: Duration,
@@ -17,27 +17,28 @@
 }
 
 /// An RPC that is in flight or still has picks in flight.
-struct Held {
+struct RpcEntry {
     rpc: RpcIx,
-    until: Duration,
-    careful: bool,
-    picks: Vec<(Sent, bool)>,
+    policy_deadline: Duration,
+    at_most_once: bool,
+    /// Each pick, and whether it is in flight.
+    picks: Vec<(SentPick, bool)>,
     /// The final answer was given, or the client has disconnected.
-    over: bool,
+    finished: bool,
     /// The pick whose answer is being streamed to the client.
     streaming: Option<usize>,
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
     /// Part of the body was sent with a pick and is not buffered.
-    drawn: bool,
+    body_consumed: bool,
 }
 
-impl Held {
-    fn out(&self) -> impl Iterator<Item = (usize, Sent)> + '_ {
+impl RpcEntry {
+    fn in_flight(&self) -> impl Iterator<Item = (usize, SentPick)> + '_ {
         self.picks.iter().enumerate().filter(|(_, p)| p.1).map(|(i, p)| (i, p.0))
     }
 
     fn why(&self) -> Why {
-        match self.last {
+        match self.last_outcome {
             None | Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot) => Why::NoRoom,
             Some(Outcome::Timeout) => Why::TimedOut,
             Some(_) => Why::Failed,
@@ -46,182 +47,195 @@
 }
 
 /// What the end of a pick means for its RPC.
-pub struct End {
+pub struct PickEnd {
     pub rpc: RpcIx,
-    pub sent: Sent,
+    pub sent: SentPick,
     /// Its answer is the final one and was not forwarded before.
-    pub wins: bool,
+    pub is_final: bool,
     /// Its answer was being streamed.
     pub streaming: bool,
     /// The RPC has its final answer, from this pick or earlier.
     pub done: bool,
     /// The RPC still needs an answer but cannot be sent again.
-    pub spent: bool,
+    pub cannot_retry: bool,
 }
 
 /// An RPC that was ended with its picks in flight.
-pub struct Cut {
+pub struct AbortedRpc {
     pub rpc: RpcIx,
-    pub out: Vec<(usize, Sent)>,
+    pub in_flight: Vec<(usize, SentPick)>,
     pub picks: usize,
     pub why: Why,
 }
 
 /// An RPC whose client has disconnected, with its picks in flight.
-pub struct Left {
+pub struct DisconnectedRpc {
     pub rpc: RpcIx,
-    pub out: Vec<usize>,
+    pub in_flight: Vec<usize>,
 }
 
 /// All RPCs in flight, by id and by the policy's index.
 #[derive(Default)]
 pub struct Rpcs {
-    held: HashMap<Id, Held>,
+    entries: HashMap<Id, RpcEntry>,
     ids: HashMap<RpcIx, Id>,
     next: RpcIx,
     /// Unanswered RPCs, ordered by the time by which the policy must have answered.
-    until: BTreeSet<(Duration, Id)>,
+    by_deadline: BTreeSet<(Duration, Id)>,
 }
 
 impl Rpcs {
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
-    pub fn holds(&self, id: Id) -> bool {
-        self.held.contains_key(&id)
+    pub fn contains(&self, id: Id) -> bool {
+        self.entries.contains_key(&id)
     }
 
     pub fn first_overdue(&self) -> Option<Duration> {
-        self.until.first().map(|u| u.0)
+        self.by_deadline.first().map(|entry| entry.0)
     }
 
-    pub fn take(&mut self, id: Id, until: Duration, careful: bool) -> RpcIx {
+    pub fn add(&mut self, id: Id, policy_deadline: Duration, at_most_once: bool) -> RpcIx {
         while self.ids.contains_key(&self.next) {
             self.next = self.next.wrapping_add(1);
         }
         let rpc = self.next;
         self.next = self.next.wrapping_add(1);
-        let (picks, over, streaming, last, drawn) = (Vec::new(), false, None, None, false);
-        let held = Held { rpc, until, careful, picks, over, streaming, last, drawn };
-        self.held.insert(id, held);
+        let (picks, finished, streaming, last_outcome, body_consumed) =
+            (Vec::new(), false, None, None, false);
+        let entry = RpcEntry {
+            rpc,
+            policy_deadline,
+            at_most_once,
+            picks,
+            finished,
+            streaming,
+            last_outcome,
+            body_consumed,
+        };
+        self.entries.insert(id, entry);
         self.ids.insert(rpc, id);
-        self.until.insert((until, id));
+        self.by_deadline.insert((policy_deadline, id));
         rpc
     }
 
-    pub fn id(&self, rpc: RpcIx) -> Option<Id> {
+    pub fn id_of(&self, rpc: RpcIx) -> Option<Id> {
         self.ids.get(&rpc).copied()
     }
 
     /// Whether the RPC must not run twice.
-    pub fn careful(&self, id: Id) -> bool {
-        self.held.get(&id).is_some_and(|h| h.careful)
+    pub fn at_most_once(&self, id: Id) -> bool {
+        self.entries.get(&id).is_some_and(|entry| entry.at_most_once)
     }
 
     /// Whether the RPC still needs an answer.
-    pub fn open(&self, id: Id) -> bool {
-        self.held.get(&id).is_some_and(|h| !h.over)
+    pub fn needs_answer(&self, id: Id) -> bool {
+        self.entries.get(&id).is_some_and(|entry| !entry.finished)
     }
 
     /// Records a pick; returns the RPC's id and the pick's index.
     pub fn send(&mut self, rpc: RpcIx, node: NodeIx, build: Build, at: Duration) -> Option<(Id, usize)> {
-        let id = self.id(rpc)?;
-        let held = self.held.get_mut(&id)?;
-        let picks = held.picks.len() + 1;
-        held.picks.push((Sent { node, build, at, picks }, true));
+        let id = self.id_of(rpc)?;
+        let entry = self.entries.get_mut(&id)?;
+        let picks = entry.picks.len() + 1;
+        entry.picks.push((SentPick { node, build, at, picks }, true));
         Some((id, picks - 1))
     }
 
     /// Records that the marshal itself gives the final answer; `None` where the RPC already has one.
-    pub fn answer(&mut self, rpc: RpcIx) -> Option<(Id, usize, Why)> {
-        let id = self.id(rpc)?;
-        let held = self.held.get_mut(&id).filter(|h| !h.over)?;
-        held.over = true;
-        let said = (id, held.picks.len(), held.why());
-        self.until.remove(&(held.until, id));
-        self.sweep(id);
-        Some(said)
+    pub fn finish(&mut self, rpc: RpcIx) -> Option<(Id, usize, Why)> {
+        let id = self.id_of(rpc)?;
+        let entry = self.entries.get_mut(&id).filter(|entry| !entry.finished)?;
+        entry.finished = true;
+        let finished_rpc = (id, entry.picks.len(), entry.why());
+        self.by_deadline.remove(&(entry.policy_deadline, id));
+        self.remove_if_done(id);
+        Some(finished_rpc)
     }
 
     /// Records that part of the body was read from the client for this pick. Time spent waiting for the
     /// client does not count as the node's latency.
-    pub fn draw(&mut self, id: Id, pick: usize, waited: Duration) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        held.drawn = true;
-        if let Some((sent, _)) = held.picks.get_mut(pick) {
+    pub fn consume_body(&mut self, id: Id, pick: usize, waited: Duration) {
+        let Some(entry) = self.entries.get_mut(&id) else { return };
+        entry.body_consumed = true;
+        if let Some((sent, _)) = entry.picks.get_mut(pick) {
             sent.at += waited;
         }
     }
 
     /// Records that the pick's answer is being streamed as the final one; `None` where the RPC already has
     /// one.
-    pub fn begin(&mut self, id: Id, pick: usize) -> Option<(RpcIx, Sent)> {
-        let held = self.held.get_mut(&id).filter(|h| !h.over)?;
-        let sent = held.picks.get(pick).filter(|p| p.1)?.0;
-        (held.over, held.streaming) = (true, Some(pick));
-        self.until.remove(&(held.until, id));
-        Some((held.rpc, Sent { picks: held.picks.len(), ..sent }))
+    pub fn begin_stream(&mut self, id: Id, pick: usize) -> Option<(RpcIx, SentPick)> {
+        let entry = self.entries.get_mut(&id).filter(|entry| !entry.finished)?;
+        let sent = entry.picks.get(pick).filter(|p| p.1)?.0;
+        (entry.finished, entry.streaming) = (true, Some(pick));
+        self.by_deadline.remove(&(entry.policy_deadline, id));
+        Some((entry.rpc, SentPick { picks: entry.picks.len(), ..sent }))
     }
 
     /// Records the end of a pick; `None` where it has already ended.
-    pub fn end_pick(&mut self, id: Id, pick: usize, ok: bool) -> Option<End> {
-        let held = self.held.get_mut(&id)?;
-        let slot = held.picks.get_mut(pick).filter(|p| p.1)?;
-        slot.1 = false;
-        let sent = slot.0;
-        let wins = ok && !held.over;
-        if wins {
-            held.over = true;
-            self.until.remove(&(held.until, id));
+    pub fn end_pick(&mut self, id: Id, pick: usize, ok: bool) -> Option<PickEnd> {
+        let entry = self.entries.get_mut(&id)?;
+        let pick_entry = entry.picks.get_mut(pick).filter(|p| p.1)?;
+        pick_entry.1 = false;
+        let sent = pick_entry.0;
+        let is_final = ok && !entry.finished;
+        if is_final {
+            entry.finished = true;
+            self.by_deadline.remove(&(entry.policy_deadline, id));
         }
-        let streaming = held.streaming == Some(pick);
-        let sent = Sent { picks: held.picks.len(), ..sent };
-        let spent = held.drawn && !held.over;
-        Some(End { rpc: held.rpc, sent, wins, streaming, done: held.over, spent })
+        let streaming = entry.streaming == Some(pick);
+        let sent = SentPick { picks: entry.picks.len(), ..sent };
+        let cannot_retry = entry.body_consumed && !entry.finished;
+        Some(PickEnd { rpc: entry.rpc, sent, is_final, streaming, done: entry.finished, cannot_retry })
     }
 
     /// Records the outcome of the RPC's latest pick.
-    pub fn note(&mut self, id: Id, outcome: Outcome) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.last = Some(outcome);
+    pub fn record_outcome(&mut self, id: Id, outcome: Outcome) {
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.last_outcome = Some(outcome);
         }
     }
 
     /// Records that the client has disconnected. No answer is needed any more.
-    pub fn leave(&mut self, id: Id) -> Option<Left> {
-        let held = self.held.get_mut(&id)?;
-        let owed = !held.over;
-        held.over = true;
-        let left = Left { rpc: held.rpc, out: held.out().map(|(pick, _)| pick).collect() };
-        self.until.remove(&(held.until, id));
-        self.sweep(id);
-        Some(left).filter(|l| owed || !l.out.is_empty())
+    pub fn disconnect(&mut self, id: Id) -> Option<DisconnectedRpc> {
+        let entry = self.entries.get_mut(&id)?;
+        let unanswered = !entry.finished;
+        entry.finished = true;
+        let disconnected =
+            DisconnectedRpc { rpc: entry.rpc, in_flight: entry.in_flight().map(|(pick, _)| pick).collect() };
+        self.by_deadline.remove(&(entry.policy_deadline, id));
+        self.remove_if_done(id);
+        Some(disconnected).filter(|rpc| unanswered || !rpc.in_flight.is_empty())
     }
 
     /// Unanswered RPCs that the policy should have answered by `now`.
     pub fn overdue(&self, now: Duration) -> Vec<Id> {
-        self.until.iter().take_while(|u| u.0 <= now).map(|u| u.1).collect()
+        self.by_deadline.iter().take_while(|entry| entry.0 <= now).map(|entry| entry.1).collect()
     }
 
     /// Ends an unanswered RPC and its picks.
-    pub fn cut(&mut self, id: Id) -> Option<Cut> {
-        let held = self.held.get_mut(&id).filter(|h| !h.over)?;
-        held.over = true;
-        let out: Vec<_> = held.out().collect();
-        held.picks.iter_mut().for_each(|p| p.1 = false);
-        let why = if out.is_empty() { held.why() } else { Why::TimedOut };
-        let cut = Cut { rpc: held.rpc, out, picks: held.picks.len(), why };
-        self.until.remove(&(held.until, id));
-        self.sweep(id);
-        Some(cut)
+    pub fn abort(&mut self, id: Id) -> Option<AbortedRpc> {
+        let entry = self.entries.get_mut(&id).filter(|entry| !entry.finished)?;
+        entry.finished = true;
+        let in_flight: Vec<_> = entry.in_flight().collect();
+        entry.picks.iter_mut().for_each(|p| p.1 = false);
+        let why = if in_flight.is_empty() { entry.why() } else { Why::TimedOut };
+        let aborted = AbortedRpc { rpc: entry.rpc, in_flight, picks: entry.picks.len(), why };
+        self.by_deadline.remove(&(entry.policy_deadline, id));
+        self.remove_if_done(id);
+        Some(aborted)
     }
 
     /// Removes an RPC that is answered and has no pick in flight.
-    pub fn sweep(&mut self, id: Id) {
-        if let Some(held) = self.held.get(&id).filter(|h| h.over && h.out().next().is_none()) {
-            self.ids.remove(&held.rpc);
-            self.held.remove(&id);
+    pub fn remove_if_done(&mut self, id: Id) {
+        if let Some(entry) =
+            self.entries.get(&id).filter(|entry| entry.finished && entry.in_flight().next().is_none())
+        {
+            self.ids.remove(&entry.rpc);
+            self.entries.remove(&id);
         }
     }
 }
--- a/crates/marshal/src/services/cut.rs
+++ b/crates/marshal/src/services/config_split.rs
@@ -8,7 +8,7 @@
 use ivydrift_terms::{Names, Terms};
 
 /// The config of all services except `places.service`.
-pub struct Others {
+pub struct OnDemandConfig {
     /// The common part of the config, without methods, tenants and peers.
     pub terms: Terms,
     pub bounds: ServicesTerms,
@@ -16,7 +16,7 @@
     methods: HashMap<Arc<str>, Vec<(String, MethodTerms)>>,
 }
 
-impl Others {
+impl OnDemandConfig {
     /// The service of a method; `None` for `places.service` and for unknown methods.
     pub fn service(&self, method: &str) -> Option<Arc<str>> {
         self.of.get(method).cloned()
@@ -27,7 +27,7 @@
     }
 
     /// The config of one service.
-    pub fn cut(&self, service: &str) -> Terms {
+    pub fn config_for(&self, service: &str) -> Terms {
         let mut terms = self.terms.clone();
         terms.places.service = service.to_owned();
         let methods = self.methods(service);
@@ -38,7 +38,7 @@
 }
 
 /// Returns the config of `places.service` and that of all others.
-pub fn split(mut terms: Terms) -> (Terms, Others) {
+pub fn split(mut terms: Terms) -> (Terms, OnDemandConfig) {
     let home: Arc<str> = terms.places.service.clone().into();
     let serves = std::mem::take(&mut terms.serves);
     let (names, values) = (std::mem::take(&mut terms.methods), std::mem::take(&mut terms.rollout.methods));
@@ -48,25 +48,25 @@
     shared.places.peers.clear();
     shared.rollout.limits.peers = false;
     let bounds = terms.services;
-    let mut others = Others { terms: shared, bounds, of: HashMap::new(), methods: HashMap::new() };
+    let mut on_demand = OnDemandConfig { terms: shared, bounds, of: HashMap::new(), methods: HashMap::new() };
     (terms.tenants, terms.rollout.tenants) = tenants;
     // Methods without a service belong to `places.service`.
     let of = serves.into_iter().map(Some).chain(std::iter::repeat(None));
-    let mut own = Vec::new();
+    let mut home_methods = Vec::new();
     for ((name, value), of) in names.iter().zip(values).zip(of) {
         match of.filter(|of| *of != home) {
             None => {
-                own.push(name);
+                home_methods.push(name);
                 terms.rollout.methods.push(value);
             }
             Some(of) => {
-                let known = others.methods.get_key_value(&of).map(|known| known.0.clone());
+                let known = on_demand.methods.get_key_value(&of).map(|known| known.0.clone());
                 let of = known.unwrap_or(of);
-                others.of.insert(name.to_owned(), of.clone());
-                others.methods.entry(of).or_default().push((name.to_owned(), value));
+                on_demand.of.insert(name.to_owned(), of.clone());
+                on_demand.methods.entry(of).or_default().push((name.to_owned(), value));
             }
         }
     }
-    terms.methods = own.into_iter().collect();
-    (terms, others)
+    terms.methods = home_methods.into_iter().collect();
+    (terms, on_demand)
 }
--- a/crates/marshal/src/wall_clock.rs
+++ b/crates/marshal/src/wall_clock.rs
@@ -6,7 +6,7 @@
 const STEP_MS: u64 = 500;
 
 /// Number of clock offsets remembered.
-const MOST_STEPS: usize = 8;
+const MAX_OFFSETS: usize = 8;
 
 /// Offsets of the wall clock to the marshal's own time, as Unix milliseconds of its zero, the latest last.
 pub struct WallClock {
@@ -19,11 +19,11 @@
     }
 
     /// Records the current offset, if it differs from all known ones by a step.
-    pub fn read(&mut self, zero_ms: u64) {
+    pub fn record(&mut self, zero_ms: u64) {
         if self.zeros_ms.iter().any(|known| known.abs_diff(zero_ms) <= STEP_MS) {
             return;
         }
-        if self.zeros_ms.len() >= MOST_STEPS {
+        if self.zeros_ms.len() >= MAX_OFFSETS {
             self.zeros_ms.remove(0);
         }
         self.zeros_ms.push(zero_ms);
@@ -32,7 +32,7 @@
     /// Converts a Unix time given by another process to the marshal's time, by each known offset. Returns the
     /// latest result that is not in the future, so that a process counts as young (cold) rather than warm. If
     /// all results lie in the future, returns the earliest; `None` if all lie before zero.
-    pub fn past(&self, now: Duration, unix_ms: u64) -> Option<Duration> {
+    pub fn to_past_time(&self, now: Duration, unix_ms: u64) -> Option<Duration> {
         let times = || {
             let since = |zero: &u64| Some(Duration::from_millis(unix_ms.checked_sub(*zero)?));
             self.zeros_ms.iter().filter_map(since)
--- /dev/null
+++ b/crates/marshal/tests/discovery.rs
@@ -0,0 +1,89 @@
+//! The core retries the node list subscription until discovery has answered; node events from other sources
+//! must not end the retries.
+
+mod common;
+
+use std::time::Duration;
+
+use common::node;
+use ivydrift_marshal::{Core, Input, Order};
+use ivydrift_wire::desk::{Course, News, Stage};
+use ivydrift_wire::list::Listed;
+
+fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+fn terms() -> ivydrift_terms::Terms {
+    ivydrift_terms::read("example.hcl", ivydrift_terms::EXAMPLE).unwrap()
+}
+
+struct Harness {
+    core: Core,
+    now: Duration,
+    /// Number of requests for the list.
+    list_requests: usize,
+}
+
+impl Harness {
+    fn new() -> Self {
+        Harness { core: Core::new(terms(), 0), now: ms(86_400_000), list_requests: 0 }
+    }
+
+    fn handle(&mut self, input: Input) {
+        let orders = self.core.handle(self.now, input);
+        self.list_requests += orders.iter().filter(|order| matches!(order, Order::FollowMembership)).count();
+    }
+
+    fn set_nodes(&mut self) {
+        let nodes: Vec<Listed> = (9000..9006).map(|port| node(port, 1)).collect();
+        self.handle(Input::Membership(&nodes));
+    }
+
+    fn send_stage(&mut self) {
+        let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+        self.handle(Input::News(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }));
+    }
+
+    /// Number of requests for the list within this time.
+    fn list_requests_within(&mut self, span: Duration) -> usize {
+        let (before, until) = (self.list_requests, self.now + span);
+        while self.now < until {
+            self.now = self.core.due().max(self.now + Duration::from_micros(50)).min(until);
+            self.handle(Input::Tick);
+        }
+        self.list_requests - before
+    }
+}
+
+#[test]
+fn a_config_change_does_not_count_as_a_discovery_answer() {
+    let mut harness = Harness::new();
+    harness.send_stage();
+    harness.set_nodes();
+    assert_eq!(harness.list_requests_within(ms(6000)), 0, "asked again while subscribed");
+    harness.handle(Input::MembershipLost);
+    harness.core.renew(terms()).unwrap();
+    assert!(harness.list_requests_within(ms(6000)) > 0, "no retry after the list was lost");
+    harness.set_nodes();
+    assert_eq!(harness.list_requests_within(ms(6000)), 0, "asked again while subscribed");
+}
+
+#[test]
+fn a_list_that_waited_for_the_rollout_controller_does_not_count_as_a_new_answer() {
+    let mut harness = Harness::new();
+    harness.set_nodes();
+    harness.list_requests_within(ms(100));
+    harness.handle(Input::MembershipLost);
+    harness.send_stage();
+    assert!(harness.list_requests_within(ms(6000)) > 0, "no retry after the list was lost");
+}
+
+#[test]
+fn an_answer_counts_while_its_nodes_wait_for_the_rollout_controller() {
+    let mut harness = Harness::new();
+    harness.set_nodes();
+    assert_eq!(harness.list_requests_within(ms(1500)), 0, "asked again while subscribed");
+    harness.send_stage();
+    assert_eq!(harness.list_requests_within(ms(6000)), 0, "asked again while subscribed");
+}
