--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -142,8 +142,8 @@
 
     /// Number of nodes that the policy knows, and number of listed nodes.
     pub fn counts(&self) -> (usize, usize) {
-        let held = self.entries.values().filter(|e| e.readiness != Readiness::Gone).count();
-        (held, self.listed.len())
+        let known = self.entries.values().filter(|e| e.readiness != Readiness::Gone).count();
+        (known, self.listed.len())
     }
 
     /// Number of indices in use, those of removed nodes included.
@@ -263,12 +263,12 @@
         let selected = self.subset.as_mut().map(|subset| {
             subset.select(now, &self.listed, |addr| !previous.contains_key(addr) || is_known(addr))
         });
-        let (held, visibility) =
-            selected.map_or((None, Sight::default()), |(held, visibility)| (Some(held), visibility));
+        let (in_subset, visibility) = selected
+            .map_or((None, Sight::default()), |(in_subset, visibility)| (Some(in_subset), visibility));
         let mut current: BTreeMap<NodeIx, NodeEntry> = BTreeMap::new();
         for at in 0..self.listed.len() {
             let (addr, entry) = self.listed[at];
-            if held.as_ref().is_none_or(|held| held[at]) {
+            if in_subset.as_ref().is_none_or(|in_subset| in_subset[at]) {
                 let node = self.index_for(now, addr);
                 current.insert(node, NodeEntry { node, ..entry });
             }
--- a/crates/marshal/src/directory/subset.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -92,9 +92,10 @@
         };
         let nodes: Vec<Node> = listed.iter().map(node).collect();
         let choice = choose_again(&self.fleet, &nodes, self.size.want(), &mut self.memory);
-        let mut held = choice.held;
+        let mut in_subset = choice.held;
         let mut delayed = HashMap::new();
-        for ((addr, entry), held) in listed.iter().zip(&mut held).filter(|(_, held)| **held) {
+        for ((addr, entry), selected) in listed.iter().zip(&mut in_subset).filter(|(_, selected)| **selected)
+        {
             let cold = entry.started.is_some_and(|at| now.saturating_sub(at) < self.warm_age);
             if !cold || needs_no_delay(addr) {
                 continue;
@@ -102,13 +103,13 @@
             let until = self.delayed.get(addr).copied().unwrap_or(now + self.budget_window);
             if now < until {
                 delayed.insert(*addr, until);
-                *held = false;
+                *selected = false;
             }
         }
-        let seen = if delayed.is_empty() { choice.seen } else { seen(&nodes, &held) };
+        let seen = if delayed.is_empty() { choice.seen } else { seen(&nodes, &in_subset) };
         self.delayed = delayed;
         let sight = Sight { newest, seen, holders: choice.holders };
         let sees_all = (seen, choice.holders) == ([1.0; 2], [1.0; 2]);
-        (held, if sees_all { Sight::default() } else { sight })
+        (in_subset, if sees_all { Sight::default() } else { sight })
     }
 }
--- a/crates/marshal/src/peers.rs
+++ b/crates/marshal/src/peers.rs
@@ -75,13 +75,13 @@
         self.members.due()
     }
 
-    /// `about`: this marshal's record without its RPC rate; `rpcs_at_publish`: RPCs accepted since the start.
-    pub fn tick(&mut self, now: Duration, about: impl Fn() -> About, rpcs_at_publish: u64) -> Vec<Order> {
+    /// `about`: this marshal's record without its RPC rate; `rpcs_accepted`: RPCs accepted since the start.
+    pub fn tick(&mut self, now: Duration, about: impl Fn() -> About, rpcs_accepted: u64) -> Vec<Order> {
         let mut orders = Vec::new();
         if now >= self.last_published + PUBLISH_INTERVAL {
             let span = now.saturating_sub(self.last_published.max(self.begun)).as_secs_f64().max(0.001);
-            let rate = (rpcs_at_publish.saturating_sub(self.rpcs_at_publish) as f64 / span) as f32;
-            (self.last_published, self.rpcs_at_publish) = (now, rpcs_at_publish);
+            let rate = (rpcs_accepted.saturating_sub(self.rpcs_at_publish) as f64 / span) as f32;
+            (self.last_published, self.rpcs_at_publish) = (now, rpcs_accepted);
             // First the fields of the first program version, then the sections; together far below the record
             // size limit.
             let _ = self
--- a/crates/marshal/src/send_check.rs
+++ b/crates/marshal/src/send_check.rs
@@ -47,7 +47,7 @@
     /// How long after the drain grace period a send that began at `begun` came; `None` where it kept the
     /// drain rule.
     pub fn late_send(&self, begun: Duration, node: SocketAddr) -> Option<Duration> {
-        let told = self.directory.withdrawn_at(node)?;
-        begun.checked_sub(told + self.terms.rollout.rules.drain_grace).filter(|late| !late.is_zero())
+        let withdrawn_at = self.directory.withdrawn_at(node)?;
+        begun.checked_sub(withdrawn_at + self.terms.rollout.rules.drain_grace).filter(|late| !late.is_zero())
     }
 }
