--- a/crates/edge/src/clients/client.rs
+++ b/crates/edge/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! One client connection as the rest of the shell sees it.
+//! State of one client connection that other coroutines share.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
@@ -11,74 +11,85 @@
 use crate::exchange::Handle;
 use ivydrift_sockets::Look;
 
-/// Where connections run out, those that have sent no whole message for this long since they came are closed first.
+/// When connections run out, those that have sent no complete message for this long after being accepted are
+/// closed first.
 const SILENT: Duration = Duration::from_millis(250);
 
-/// At a stop, a connection that has only just been made is given this long to bring its first bytes: it may have
-/// waited in the listener's queue, and its client has written to it already.
+/// During shutdown, a connection that was only just accepted gets this long to deliver its first bytes: it
+/// may have waited in the listen backlog, and its client may already have written to it.
 const NEWCOMER: Duration = Duration::from_millis(100);
 
-/// One client connection, as the rest of the shell sees it.
+/// One client connection as other coroutines see it.
 pub struct Client {
+    /// Lets other coroutines check or shut down the connection.
     pub look: Look,
-    /// Where it stands, see [`Stand`].
+    /// The connection's [`Stand`] as an integer.
     pub(super) stand: AtomicU8,
-    /// Nothing of a message has come since it came, or came to rest.
+    /// No byte of a message has arrived since the connection was accepted or last became idle.
     pub(super) quiet: AtomicBool,
+    /// When the connection was accepted.
     pub came: Instant,
-    /// When it came to rest, in milliseconds since it came.
+    /// When the connection last became idle, in milliseconds after `came`.
     rested: AtomicU64,
     mailbox: Mutex<Mailbox>,
+    /// Posted for each entry of the mailbox.
     pub(super) wake: Semphore,
     hand: Mutex<Hand>,
-    /// The client has left while its RPC was in hand.
+    /// The client disconnected while its RPC was in progress.
     pub(super) gone: AtomicBool,
 }
 
-/// Where a connection stands with the messages on it.
+/// State of a connection with respect to its messages.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Stand {
-    /// No whole message has come yet.
+    /// No complete message has arrived yet.
     New,
+    /// A message is being read or an RPC is in progress.
     Busy,
+    /// Idle: the last answer is complete and no byte of another message has been read.
     Resting,
-    /// It ends with the answer that it has.
+    /// The connection closes after the answer that was just written.
     Leaving,
-    /// It was closed for another, or for the stop: what is still read of it counts for nothing.
+    /// The connection was closed to free a slot or for shutdown. Anything still read from it is discarded.
     GivenUp,
 }
 
-/// Orders for the RPC in hand that came out of somebody else's events.
+/// Orders for the RPC in progress that result from events handled by other coroutines.
 #[derive(Default)]
 struct Mailbox {
     rpc: Option<Id>,
     mail: VecDeque<Mail>,
 }
 
-/// A pick of an RPC: both numbers, for the next RPC of the connection counts its picks from 0 again.
+/// Identifies a pick. The RPC id is needed because each RPC of a connection numbers its picks from 0.
 type Which = (Id, usize);
 
-/// What is out for this client.
+/// The pick in progress for this client.
 #[derive(Default)]
 struct Hand {
     pick: Option<Which>,
+    /// Its connection, once established.
     look: Option<Look>,
-    /// What was ordered to be cut off last. The order may come before its pick has begun.
+    /// The last pick ordered to be cancelled. The order may arrive before that pick has begun.
     severed: Option<Which>,
 }
 
 impl Hand {
+    /// Whether the pick in progress has been cancelled.
     fn cut_off(&self) -> bool {
         self.pick.is_some() && self.pick == self.severed
     }
 }
 
+/// An entry of a client's mailbox.
 pub enum Mail {
     Order(Order),
+    /// The client has disconnected.
     Gone,
 }
 
 impl Client {
+    /// A connection that was just accepted.
     pub(crate) fn new(look: Look) -> Self {
         Client {
             look,
@@ -93,33 +104,37 @@
         }
     }
 
+    /// Marks the connection as idle.
     pub(crate) fn rest(&self) {
         self.rested.store(self.came.elapsed().as_millis() as u64, Ordering::Relaxed);
         self.quiet.store(true, Ordering::Release);
         self.turn(Stand::Busy, Stand::Resting);
     }
 
+    /// Changes the state. Returns false if the connection was not in state `from`.
     pub(crate) fn turn(&self, from: Stand, to: Stand) -> bool {
         self.stand.compare_exchange(from as u8, to as u8, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
+    /// Whether the connection is in this state.
     pub(crate) fn stands(&self, at: Stand) -> bool {
         self.stand.load(Ordering::Acquire) == at as u8
     }
 
-    /// The first bytes of a message are here; false where the connection was given up.
+    /// Records that the first bytes of a message have arrived. Returns false if the connection was given up.
     pub(crate) fn spoken(&self) -> bool {
         self.quiet.store(false, Ordering::Release);
         self.turn(Stand::Resting, Stand::Busy) || !self.stands(Stand::GivenUp)
     }
 
-    /// A whole message is here; false where the connection was given up, and nothing of it may be carried out.
+    /// Records that a complete message has arrived. Returns false if the connection was given up, in which
+    /// case the message must not be processed.
     pub(crate) fn asked(&self) -> bool {
         self.turn(Stand::New, Stand::Busy) || self.stands(Stand::Busy)
     }
 
-    /// How gladly this connection is given up for another, where it may be: who has its last answer first, then who
-    /// never asked anything, then who has rested longest.
+    /// Rank for closing this connection to free a slot, or `None` if it must stay. Connections that have
+    /// their last answer go first, then those that never sent a message, then those idle for longest.
     pub fn spare(&self) -> Option<(u8, Duration)> {
         let rested =
             self.came.elapsed().saturating_sub(Duration::from_millis(self.rested.load(Ordering::Relaxed)));
@@ -128,9 +143,10 @@
         ranks.iter().find(|(may, _)| *may).map(|(_, rank)| (*rank, rested))
     }
 
-    /// Closes the connection where no message is in hand or has come: a client that sends one in this very moment
-    /// sends it again elsewhere, so it must not be carried out here as well. What waits unread in the socket has
-    /// been taken, whether or not its reader has run yet; only after our last answer nothing more is owed.
+    /// Closes the connection if no message is in progress or has arrived. A client that sends a message at
+    /// this very moment sends it again elsewhere, so it must not be processed here as well. Unread bytes in
+    /// the socket count as an accepted message even if the reader has not run yet; only after the
+    /// connection's last answer are they ignored.
     pub fn give_up(&self) -> bool {
         if !self.stands(Stand::Leaving) && !self.look.quiet() {
             return false;
@@ -143,14 +159,15 @@
         given
     }
 
-    /// Nothing of a message has come, though it had the time for it.
+    /// Whether no byte of a message has arrived although the client had time to send one.
     pub fn quiet(&self) -> bool {
         let newcomer = self.stands(Stand::New) && self.came.elapsed() < NEWCOMER;
         !newcomer && self.quiet.load(Ordering::Acquire)
     }
 
-    /// Takes an order from another coroutine; false where its RPC is not in hand here any more. Whoever posts has looked
-    /// the client up before, and that RPC may have ended since. Cutting off the pick in hand cannot wait for the mail.
+    /// Delivers an order from another coroutine. Returns false if its RPC is no longer in progress on this
+    /// connection: the caller looked the client up earlier, and the RPC may have ended since. Cancelling the
+    /// pick in progress bypasses the mailbox because it cannot wait.
     pub fn post(&self, order: &Order) -> bool {
         if let Order::Sever { id, pick } = order {
             let mut hand = self.hand.lock().unwrap();
@@ -169,34 +186,35 @@
         open
     }
 
-    /// The client was seen to leave.
+    /// Records that the client has disconnected.
     pub fn leave(&self) {
         self.gone.store(true, Ordering::Release);
         self.mailbox.lock().unwrap().mail.push_back(Mail::Gone);
         self.wake.post();
     }
 
-    /// From here on mail for this RPC is taken, and for no other.
+    /// Accepts orders for this RPC, and for no other, from now on.
     pub(crate) fn open(&self, id: Id) {
         *self.mailbox.lock().unwrap() = Mailbox { rpc: Some(id), mail: VecDeque::new() };
     }
 
-    /// No mail is taken any more; what was not read.
+    /// Stops accepting orders and returns the unread ones.
     pub(crate) fn shut(&self) -> VecDeque<Mail> {
         std::mem::take(&mut *self.mailbox.lock().unwrap()).mail
     }
 
+    /// The next entry of the mailbox, if there is one.
     pub(crate) fn next(&self) -> Option<Mail> {
         self.mailbox.lock().unwrap().mail.pop_front()
     }
 
-    /// A pick begins.
+    /// Marks a pick as in progress.
     pub(crate) fn begin(&self, id: Id, pick: usize) {
         let mut hand = self.hand.lock().unwrap();
         (hand.pick, hand.look) = (Some((id, pick)), None);
     }
 
-    /// It has ended.
+    /// Marks the pick in progress as ended.
     pub(crate) fn end(&self) {
         let mut hand = self.hand.lock().unwrap();
         (hand.pick, hand.look) = (None, None);
@@ -207,7 +225,8 @@
     fn hold(&self, look: Look) -> bool {
         let mut hand = self.hand.lock().unwrap();
         hand.look = Some(look);
-        // Whether or not running work can be cancelled here: for one who has left nothing is begun.
+        // Nothing is started for a client that has left, even if the method does not allow cancelling work
+        // that already runs.
         !hand.cut_off() && !self.gone.load(Ordering::Acquire)
     }
 
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients' side: connections, RPCs read (whole, as far as their bodies are held), and their one final answer
-//! written.
+//! Client side: accepts connections, reads RPCs (up to the buffered length of their bodies), and writes one
+//! final answer for each.
 
 mod client;
 mod passage;
@@ -22,15 +22,16 @@
 use ivydrift_sockets::{out_of_descriptors, Listener, Socket};
 use passage::{Rest, Unread};
 
-/// A client that takes none of its answer for this long is cut off.
+/// A client that accepts no byte of its answer for this long is disconnected.
 const SLOW_READER: Duration = Duration::from_secs(10);
 
 const TOO_SLOW: Refusal = Refusal { status: 408, why: "the message took too long to arrive" };
 const TOO_LONG: Refusal =
     Refusal { status: 413, why: "the body is longer than this marshal passes on (bounds.longest_body_kib)" };
 
-/// Takes connections until nothing new is to be taken. What waits in the queue by then has been accepted by this
-/// machine, and may have its RPC written: it is taken as well, or the listener's end would reset it.
+/// Accepts connections until shutdown closes the listener. Connections already in the backlog at that point
+/// were accepted by the kernel and may carry an RPC, so they are taken too; closing the listener would reset
+/// them.
 pub fn accept(edge: &Arc<Edge>, listener: &Listener) {
     loop {
         match listener.accept() {
@@ -38,8 +39,9 @@
             Ok(None) if edge.closing() => return,
             Ok(None) => listener.wait(),
             Err(e) => {
-                // Those that wait in the queue keep their place. Out of descriptors: idle connections make room.
-                tracing::warn!(error = %e, "cannot accept");
+                // Connections in the backlog keep their place. If descriptors have run out, closing idle
+                // connections frees some.
+                tracing::warn!(error = %e, "failed to accept a connection");
                 if e.raw_os_error().is_some_and(out_of_descriptors) {
                     edge.pool.tidy(true);
                 }
@@ -49,6 +51,8 @@
     }
 }
 
+/// Registers an accepted connection and serves it on a coroutine of its own, or closes it if there are too
+/// many.
 fn welcome(edge: &Arc<Edge>, socket: Socket) {
     let client = Arc::new(Client::new(socket.look()));
     let Some(name) = edge.enter(&client) else { return };
@@ -56,7 +60,7 @@
     go(move || serve(&edge, client, name, socket));
 }
 
-/// Serves a client that was entered under this name, until it or we go.
+/// Serves the client registered under `name` until either side closes the connection.
 pub fn serve(edge: &Arc<Edge>, client: Arc<Client>, name: u64, socket: Socket) {
     let mut connection = Connection { edge, client: &client, socket, buf: Vec::new() };
     if connection.run() {
@@ -67,6 +71,7 @@
     edge.leave(name);
 }
 
+/// The socket of a client connection and the bytes read ahead from it.
 struct Connection<'a> {
     edge: &'a Arc<Edge>,
     client: &'a Arc<Client>,
@@ -74,17 +79,18 @@
     buf: Vec<u8>,
 }
 
-/// What a client connection comes to after an RPC.
+/// What happens to a client connection after an RPC.
 enum Served {
+    /// Go on with the next RPC.
     On,
-    /// It must end; our last answer may still be on its way.
+    /// Close the connection; the answer may still be in transit.
     Close,
     /// The rest of the RPC could not be read.
     Refuse(Refusal),
 }
 
 impl Connection<'_> {
-    /// Serves until the connection ends; true where our last answer may still be on its way.
+    /// Serves RPCs until the connection ends. Returns true if the last answer may still be in transit.
     fn run(&mut self) -> bool {
         loop {
             self.client.rest();
@@ -112,13 +118,13 @@
                 }
                 continue;
             }
-            // After a stall, what waited in the socket may be from clients that have long left. Its id is still free: it
-            // may come again elsewhere.
+            // After a stall, requests waiting in the socket may be from clients that left long ago. The id of
+            // such a request is still unclaimed, so it may be sent again elsewhere.
             if self.edge.stalled() && self.socket.left() {
                 return true;
             }
             let (left, claim) = match self.edge.dialect.read(&request, &self.edge.live()) {
-                // The client's time has run since its first byte.
+                // The client's time budget started with its first byte.
                 Ok((left, claim)) => (left.map(|left| left.saturating_sub(began.elapsed())), claim),
                 Err(refusal) => return self.refuse(refusal),
             };
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Reads more by then; false at the end of the stream or of patience.
+    /// Reads more bytes before `by`. Returns false at the end of the stream.
     fn fill(&mut self, by: Instant) -> Result<bool, ErrorKind> {
         let mut part = [0; 4096];
         match self.socket.read(&mut part, Some(by)) {
@@ -148,7 +154,7 @@
         }
     }
 
-    /// The next head, and when its first byte came.
+    /// Reads the next request head and the time its first byte arrived.
     fn head(&mut self) -> Result<(Request, Instant), Unread> {
         let bounds = self.edge.bounds();
         let first = bounds.first_message.filter(|_| self.client.stands(Stand::New));
@@ -157,7 +163,7 @@
         let mut by = limit(Instant::now() + bounds.idle_client);
         let mut began = None;
         loop {
-            // A line break before a head is forgiven (RFC 9112, section 2.2).
+            // Empty lines before a request line are ignored (RFC 9112, section 2.2).
             while self.buf.starts_with(b"\r\n") {
                 self.buf.drain(..2);
             }
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Reads the body as far as it is held; what is left of it stays with the walk.
+    /// Reads the body up to the buffered length. The walk continues with whatever is left of it.
     fn body(&mut self, request: &Request, began: Instant) -> Result<(Vec<u8>, Walk), Unread> {
         let bounds = self.edge.bounds();
         if matches!(request.framing, Framing::Length(n) if n > bounds.longest_body) {
@@ -223,7 +229,7 @@
         }
     }
 
-    /// Says why a message is not taken and closes: where its end is cannot be trusted.
+    /// Rejects a message and closes the connection, because the message boundary cannot be trusted.
     fn refuse(&self, refusal: Refusal) -> bool {
         let head = HeadWriter::response(refusal.status)
             .field("content-type", "text/plain")
--- a/crates/edge/src/clients/passage.rs
+++ b/crates/edge/src/clients/passage.rs
@@ -1,4 +1,4 @@
-//! The client's end of an RPC while a pick is out.
+//! The client's side of an RPC while a pick is in progress.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -13,28 +13,29 @@
 use crate::Edge;
 use ivydrift_sockets::Socket;
 
-/// The part of a body that is not held, still with the client.
+/// The part of a request body that is not buffered and still has to come from the client.
 pub struct Rest {
+    /// Position in the body's framing.
     pub walk: Walk,
-    /// The client must have sent all of it by then.
+    /// The client must have sent the whole body by this time.
     pub by: Instant,
-    /// Bytes held, and bytes that went past to a node.
+    /// Bytes buffered, and bytes streamed to a node.
     pub held: u64,
     pub taken: u64,
-    /// How long the present pick waited for the client to send it.
+    /// How long the current pick has waited for the client to send body bytes.
     pub waited: Duration,
-    /// The client gave no more.
+    /// Why the client's body ended early.
     pub stopped: Option<Unread>,
 }
 
 /// Why a message was not read.
 pub enum Unread {
-    /// The client closed, or said nothing for too long.
+    /// The client closed the connection or was silent for too long.
     Over,
     Refused(Refusal),
 }
 
-/// The client's end of an RPC while a pick is out.
+/// The client's side of an RPC while a pick is in progress.
 pub struct Passage<'a> {
     pub edge: &'a Arc<Edge>,
     pub socket: &'a mut Socket,
@@ -42,17 +43,22 @@
     pub rest: &'a mut Rest,
     pub id: Id,
     pub pick: usize,
+    /// The connection may stay open after this RPC.
     pub go_on: bool,
+    /// Orders that came back while the pick ran.
     pub orders: Vec<Order>,
+    /// The answer has begun to stream to the client.
     pub passing: bool,
 }
 
 impl Passage<'_> {
+    /// Ends the body early.
     fn stop(&mut self, why: Unread) -> Drawn {
         self.rest.stopped = Some(why);
         Drawn::Over
     }
 
+    /// Tells the core that the pick has consumed body bytes, and how long it waited for them.
     pub fn drawn(&self, waited: Duration) {
         let (id, pick) = (self.id, self.pick);
         self.edge.tell(Input::Drawn { id, pick, waited }, id);
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -1,4 +1,4 @@
-//! One RPC of a client connection, from the message to its one final answer.
+//! Serves one RPC of a client connection, from the request to its one final answer.
 
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
@@ -13,7 +13,7 @@
 use crate::guard::Attempt;
 
 impl Connection<'_> {
-    /// Takes one RPC to its final answer.
+    /// Carries one RPC to its final answer.
     pub(super) fn serve(
         &mut self, request: Request, body: Vec<u8>, mut rest: Rest, left: Option<Duration>, go_on: bool,
     ) -> Served {
@@ -39,7 +39,8 @@
                     continue;
                 }
             };
-            // What is left of the body would be read as the next RPC. The order to stop may have come meanwhile.
+            // An unread rest of the body would be parsed as the next RPC. Shutdown may also have begun in the
+            // meantime.
             keep = go_on && rest.walk.ended() && !edge.stopping() && !edge.crowded();
             match order {
                 Order::Pick { .. } if client.gone.load(Ordering::Acquire) => {
@@ -103,7 +104,7 @@
                     break self.finish(head, &format!("{why}\n"), keep);
                 }
                 Order::BreakOff { .. } => break false,
-                // Routed by `post`, or of no concern to one RPC.
+                // The remaining orders are routed by `post` or do not concern a single RPC.
                 _ => {}
             }
         };
@@ -112,7 +113,8 @@
         if !answered && !refused_later && !client.gone.load(Ordering::Acquire) && !self.socket.left() {
             edge.guard.closed_unanswered(id);
         }
-        // Picks that were ordered and never begun, as of a client that left meanwhile: the core counts them as out.
+        // Picks that were ordered but never begun, for example because the client left: the core counts them
+        // as in flight until it is told otherwise.
         let unread = client.shut().into_iter().filter_map(|mail| match mail {
             Mail::Order(order) => Some(order),
             Mail::Gone => None,
@@ -125,6 +127,7 @@
         }
     }
 
+    /// Writes a short text answer. Returns false if the client did not accept it.
     pub(super) fn finish(&self, head: HeadWriter, text: &str, keep: bool) -> bool {
         let mut head = head.field("content-length", text.len().to_string());
         if let Some(ms) = self.edge.spread_ms() {
--- a/crates/edge/src/command.rs
+++ b/crates/edge/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of a marshal, for the binary and for `ivydrift edge`.
+//! The command line of a marshal, used by the binary and by `ivydrift edge`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,10 +8,10 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// A marshal: takes RPCs, picks a node and a build for each, votes on builds.
+/// A marshal: receives RPCs, picks a node and a build for each, and votes on builds.
 ///
-/// Exit codes: 0 stopped with nothing left unfinished; 1 stopped with RPCs unfinished, or could not start;
-/// 2 the command or the terms are wrong.
+/// Exit codes: 0 stopped with no RPC unfinished; 1 stopped with RPCs unfinished, or failed to start; 2 the
+/// command line or the config is wrong.
 #[derive(Parser, Debug)]
 #[command(
     name = "ivydrift-edge",
@@ -20,25 +20,25 @@
                   ivydrift-edge --example > edge.hcl"
 )]
 pub struct EdgeCommand {
-    /// The terms, in HCL; with --platform the platform's file, which LB_CONFIG names where this does not
+    /// The config file, in HCL; with --platform the platform's file, by default the one that LB_CONFIG names
     #[arg(required_unless_present_any = ["example", "platform"])]
     file: Option<PathBuf>,
-    /// Speak the operators' platform, and be told what it tells a marshal
+    /// Speak the operators' platform protocol, configured by the platform's file
     #[arg(long, conflicts_with = "example")]
     platform: bool,
-    /// Print terms that are known to be right, and end
+    /// Print a valid example config and exit
     #[arg(long)]
     example: bool,
 }
 
-/// Logs as JSON lines on standard error; `RUST_LOG` says how much.
+/// Logs as JSON lines to standard error, filtered by `RUST_LOG`.
 pub fn log_to_stderr() {
     let filter =
         tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info,may=warn".into());
     let _ = tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).try_init();
 }
 
-/// The file's text as a start, in either dialect.
+/// A config file that was read, in the format of either dialect.
 enum Read {
     Native(Box<ivydrift_terms::Terms>),
     Platform(Box<start::Start>),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads the file of terms again and puts it in force; what is wrong with it is logged, and the running terms stay.
+/// Reads the config file again and applies it. Errors are logged, and the running config stays in force.
 fn renew(running: &crate::Running, file: &Path, platform: bool) {
     running.reload_announced();
     let name = file.display().to_string();
@@ -84,6 +84,7 @@
 }
 
 impl EdgeCommand {
+    /// Runs a marshal until SIGTERM or SIGINT; SIGHUP reloads the config.
     pub fn run(self) -> ExitCode {
         if self.example {
             print!("{}", ivydrift_terms::EXAMPLE);
@@ -91,7 +92,7 @@
         }
         let told = || std::env::var_os(start::FILE).filter(|_| self.platform).map(PathBuf::from);
         let Some(file) = self.file.clone().or_else(told) else {
-            eprintln!("no file is named: name one, or set {} to its place.", start::FILE);
+            eprintln!("no config file given: pass its path or set {} to it", start::FILE);
             return ExitCode::from(2);
         };
         let read = match Read::file(&file, self.platform) {
@@ -106,11 +107,11 @@
             Read::Native(terms) => terms.places.listen,
             Read::Platform(start) => start.terms.places.listen,
         };
-        // Signals are taken before the start, so that none is lost.
+        // Signal handlers are installed before the start so that no signal is lost.
         let mut signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
             Ok(signals) => signals,
             Err(e) => {
-                eprintln!("signals cannot be taken: {e}");
+                eprintln!("cannot install signal handlers: {e}");
                 return ExitCode::FAILURE;
             }
         };
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What is spoken with clients, nodes, list and desk: our own protocol or the operators' platform. The shell asks
-//! here for words and goes on alike in both; the words themselves are in `wire` and `platform`.
+//! Protocol dialects: the native protocol and the operators' platform. The shell calls these methods and is
+//! otherwise the same for both; the encodings are in `wire` and `platform`.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -16,24 +16,29 @@
 use crate::ids::{Claim, Ids};
 use crate::Live;
 
+/// The protocol spoken with clients, nodes, discovery and rollout controller.
 pub enum Dialect {
     Native,
     Platform(Platform),
 }
 
+/// State that only the platform's dialect needs.
 #[derive(Default)]
 pub struct Platform {
+    /// The node list as last received.
     pub catalog: Mutex<Catalog>,
+    /// Request ids in use.
     ids: Ids,
 }
 
 impl Platform {
+    /// Starts from a known node list.
     pub fn new(catalog: Catalog) -> Self {
         Platform { catalog: Mutex::new(catalog), ..Platform::default() }
     }
 }
 
-/// Fields that we set ourselves, or that are between client and marshal only.
+/// Header fields that the marshal sets itself, or that only concern client and marshal.
 const OURS: [&str; 7] = ["host", "via", rpc::TIMEOUT, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY];
 const OURS_THERE: [&str; 2] = ["host", theirs::TIMEOUT];
 const NOT_FOR_CLIENTS: [&str; 8] =
@@ -41,6 +46,7 @@
 const NOT_FOR_CLIENTS_THERE: [&str; 2] = [theirs::LOAD, theirs::NEVER_RAN];
 
 impl Dialect {
+    /// The platform's state, or `None` in the native dialect.
     pub fn platform(&self) -> Option<&Platform> {
         match self {
             Dialect::Native => None,
@@ -48,12 +54,12 @@
         }
     }
 
-    /// It asks whether the marshal is ready, and is no RPC.
+    /// Whether this is a health check rather than an RPC.
     pub fn asks_health(&self, request: &Request) -> bool {
         self.platform().is_some() && theirs::asks_health(request)
     }
 
-    /// How long the client waits, where it says so, and its claim to its id.
+    /// Reads the client's timeout, if given, and claims the request id.
     pub fn read(
         &self, request: &Request, live: &Live,
     ) -> Result<(Option<Duration>, Option<Claim<'_>>), Refusal> {
@@ -75,6 +81,7 @@
         }
     }
 
+    /// The RPC's properties that the core decides by, from the request head.
     pub fn call<'a>(&self, target: &'a str, fields: &'a Fields, left: Option<Duration>) -> Call<'a> {
         match self {
             Dialect::Native => Call {
@@ -92,7 +99,7 @@
         }
     }
 
-    /// The head of a pick, without its framing.
+    /// The request head for a node, without its framing fields.
     pub fn to_node(
         &self, verb: &str, target: &str, fields: &Fields, via: &str, node: SocketAddr, within: Duration,
     ) -> HeadWriter {
@@ -107,13 +114,13 @@
         }
     }
 
-    /// A send that broke off with its last byte unsent proves that nothing ran. In our own protocol a node may
-    /// begin before that.
+    /// Whether a node runs only complete requests, so that a send that failed before its last byte proves
+    /// that nothing ran. In the native protocol a node may begin earlier.
     pub fn begins_whole(&self) -> bool {
         self.platform().is_some()
     }
 
-    /// A node's answer: status, its word that the RPC never ran, its load.
+    /// Reads a node's response head: the status, whether the node says that the RPC never ran, and its load.
     pub fn heard(&self, head: &Response) -> (u16, bool, Metrics) {
         match self {
             Dialect::Native => {
@@ -124,16 +131,17 @@
         }
     }
 
+    /// Whether an answer with this framing is invalid.
     pub fn spoilt(&self, framing: Framing) -> bool {
         self.platform().is_some() && theirs::spoilt(framing)
     }
 
-    /// Answers longer than this are spoilt.
+    /// The longest valid answer in bytes, if there is a limit.
     pub fn longest_answer(&self) -> Option<usize> {
         self.platform().map(|_| BODY)
     }
 
-    /// The head of an ok, without its framing.
+    /// The response head of a successful RPC, without its framing fields.
     pub fn ok(&self, head: &Response, picks: usize, build: u32) -> HeadWriter {
         let writer = HeadWriter::response(head.status);
         match self {
@@ -146,6 +154,7 @@
         }
     }
 
+    /// The response head of a pushed-back RPC, without its framing fields.
     pub fn push_back(&self, picks: usize, retry_after: Option<Duration>, why: Why) -> HeadWriter {
         match self {
             Dialect::Native => {
@@ -161,6 +170,7 @@
         }
     }
 
+    /// The response head of an aborted RPC, without its framing fields.
     pub fn abort(&self, picks: usize, why: Why) -> HeadWriter {
         let status = if why == Why::TimedOut { 504 } else { 502 };
         match self {
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One pick on its socket: the RPC out, the answer in, and what was seen of it.
+//! One pick on its socket: sends the RPC, reads the answer, and reports what was observed.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -12,28 +12,32 @@
 use crate::pool::Pool;
 use ivydrift_sockets::{out_of_descriptors, Look, Socket};
 
-/// An answer up to this long is held until it is whole, so that one that breaks off can still be replaced.
+/// An answer up to this many bytes is buffered until complete, so that another pick can still replace one
+/// that breaks off.
 pub const HELD: usize = 16 * 1024;
 
-/// A passing answer that brings nothing for this long is broken off.
+/// A streamed answer that delivers no bytes for this long is cancelled.
 const STALLED: Duration = Duration::from_secs(10);
 
-/// While a client pauses in a long body, the node is looked at this often, whether it has answered already.
+/// While a client pauses in a long body, the node's connection is polled at this interval for an early
+/// answer.
 const EARLY: Duration = Duration::from_millis(20);
 
-/// The RPC as it goes to any node.
+/// The RPC as it is sent to any node.
 pub struct Outgoing {
     pub verb: String,
     pub target: String,
     pub fields: http::Fields,
-    /// What is held of the body; all of it where no framing is given for the rest.
+    /// The buffered part of the body; all of it if `rest` is `None`.
     pub body: Vec<u8>,
+    /// The framing of the body if part of it is still to come from the client.
     pub rest: Option<Framing>,
-    /// Our name in `Via`.
+    /// This marshal's name in `Via`.
     pub via: String,
 }
 
 impl Outgoing {
+    /// The request for this node as far as it is buffered; `within` is the time left.
     fn bytes(&self, dialect: &Dialect, node: SocketAddr, within: Duration) -> Vec<u8> {
         let mut head = dialect.to_node(&self.verb, &self.target, &self.fields, &self.via, node, within);
         head = match self.rest {
@@ -56,16 +60,16 @@
     }
 }
 
-/// The head and held part of an answer.
+/// The head and the buffered part of an answer.
 pub struct Answer {
     pub head: Response,
     pub body: Vec<u8>,
-    /// The body is longer than was held: the rest follows in parts.
+    /// The body is longer than the buffer; the rest is streamed.
     pub more: bool,
 }
 
 impl Answer {
-    /// The answer's head for the client, with the kind of answer and what it took.
+    /// The head of the answer for the client, with the answer's kind and number of picks.
     pub fn head_bytes(
         &self, dialect: &Dialect, picks: usize, build: u32, close: bool, spread_ms: Option<u64>,
     ) -> Vec<u8> {
@@ -73,7 +77,8 @@
         head = match (self.more, self.head.framing) {
             (true, Framing::Length(n)) => head.field("content-length", n.to_string()),
             (true, _) => head.field("transfer-encoding", "chunked"),
-            // A 204 or 304 has no length; what a HEAD would have had is not known to be this.
+            // A 204 or 304 has no length, and the length that a HEAD response would announce is not that of
+            // this body.
             (false, _) if matches!(self.head.status, 204 | 304) => head,
             (false, _) => head.field("content-length", self.body.len().to_string()),
         };
@@ -87,45 +92,52 @@
     }
 }
 
-/// What came of a wait for more of a long body.
+/// Result of a wait for more of a long request body.
 pub enum Drawn {
     Data(Vec<u8>),
-    /// Nothing, in this time.
+    /// No bytes arrived within the wait.
     Nothing,
     End,
-    /// No more will come: the client has left, sends too slowly, or what cannot be read.
+    /// No more will arrive: the client has left, sends too slowly, or sent malformed data.
     Over,
 }
 
-/// The client's end of an RPC, as far as a pick needs it: the rest of a long body comes from it, and a long
-/// answer goes to it.
+/// The client's side of an RPC as a pick uses it: source of the rest of a long request body and destination
+/// of a long answer.
 pub trait Caller {
-    /// More of the body, from the first call on gone for any other pick.
+    /// Waits for more of the body. From the first call on, the body is no longer complete for any other pick.
     fn draw(&mut self, wait: Duration) -> Drawn;
-    /// The head and first part may go out now; false where nobody wants them any more.
+    /// Sends the head and the first part of the answer. Returns false if the client no longer wants them.
     fn begin(&mut self, answer: &Answer) -> bool;
+    /// Sends more of a streamed answer. Returns false if the client no longer accepts it.
     fn part(&mut self, bytes: &[u8]) -> bool;
 }
 
-/// Names the connection of a pick while it is in use, so that it can be cut off from elsewhere.
+/// Gives access to a pick's connection while it is in use, so that another coroutine can cancel the pick.
 pub trait Handle {
-    /// False where the pick was severed meanwhile.
+    /// Registers the connection. Returns false if the pick was cancelled in the meantime.
     fn hold(&self, look: Look) -> bool;
+    /// Whether the pick was cancelled.
     fn severed(&self) -> bool;
 }
 
-/// The guard of one attempt.
+/// Admission check for one attempt.
 pub trait Admission {
-    /// Asked when the connection stands, right before the first byte is written: false where nothing may be sent.
+    /// Called once the connection is established, right before the first byte is written. Returns false if
+    /// nothing may be sent.
     fn admit(&self) -> bool;
-    /// The first byte was written at this time, or a moment later.
+    /// Called after the request was written; `begun` was taken right before its first byte.
     fn sent(&self, begun: Instant);
 }
 
+/// One attempt of an RPC at one node.
 pub struct Pick<'a> {
     pub node: SocketAddr,
+    /// The pick's deadline.
     pub by: Instant,
+    /// The RPC must not run twice, so only a recently used idle connection is reused.
     pub careful: bool,
+    /// Connect timeout.
     pub connect: Duration,
     pub pool: &'a Pool,
     pub dialect: &'a Dialect,
@@ -133,7 +145,7 @@
 }
 
 impl Pick<'_> {
-    /// Sends the RPC and reads its answer. The answer is there whenever [`Saw::Answer`] is.
+    /// Sends the RPC and reads its answer. The answer is present whenever [`Saw::Answer`] is returned.
     pub fn run(&self, rpc: &Outgoing, handle: &dyn Handle, caller: &mut dyn Caller) -> (Saw, Option<Answer>) {
         let (by, began) = (self.by, Instant::now());
         if began >= by {
@@ -144,7 +156,7 @@
             None => match Socket::connect(self.node, (by - began).min(self.connect)) {
                 Ok(socket) => socket,
                 Err(e) => {
-                    // Idle connections make room for the next.
+                    // Closing idle connections frees descriptors for the next attempt.
                     if e.raw_os_error().is_some_and(out_of_descriptors) {
                         self.pool.tidy(true);
                     }
@@ -167,7 +179,7 @@
         let written = socket.write(&bytes, by);
         self.admission.sent(begun);
         if let Err((handed, e)) = written {
-            // Not one byte was taken from us: no node can have seen any of it.
+            // The kernel accepted no byte, so no node can have seen any of the RPC.
             let saw = match e.kind() {
                 _ if handed == 0 || self.dialect.begins_whole() => Saw::NotSent,
                 ErrorKind::TimedOut => Saw::TimedOut,
@@ -191,7 +203,7 @@
         if handle.severed() && !whole {
             return (Saw::Severed, None);
         }
-        // Bytes beyond the answer are no answer to anything: the node answers twice, or cannot count.
+        // Bytes after the answer belong to no request: the node answered twice or sent a wrong length.
         let rest = reader.buf;
         let clean = rest.is_empty() && matches!(upload, Upload::Whole);
         if whole && clean && answer.as_ref().is_some_and(|a| a.head.keep_alive) {
@@ -201,24 +213,24 @@
     }
 }
 
-/// How the sending of a long body ended.
+/// How sending a long body ended.
 enum Upload {
     Whole,
-    /// The node spoke or broke before the end: its answer, if any, can be read.
+    /// The node answered or disconnected before the end; an answer may still be readable.
     Early,
-    /// The node did not take it in time.
+    /// The node did not accept the body in time.
     Late,
-    /// The client did not give it.
+    /// The client did not deliver the body.
     Over,
 }
 
-/// Sends the rest of a body as it comes from the client, holding one part of it at a time.
+/// Streams the rest of a request body from the client, buffering one part at a time.
 fn upload(socket: &Socket, chunks: bool, caller: &mut dyn Caller, by: Instant) -> Upload {
     loop {
         let left = by.saturating_duration_since(Instant::now());
         let (part, last) = match caller.draw(left.min(EARLY)) {
             Drawn::End if !chunks => return Upload::Whole,
-            // An answer before the body's end makes the rest of it pointless.
+            // After an early answer, sending the rest of the body is pointless.
             _ if !socket.quiet() => return Upload::Early,
             Drawn::Nothing if left > EARLY => continue,
             Drawn::Nothing | Drawn::Over => return Upload::Over,
@@ -235,32 +247,35 @@
     }
 }
 
+/// Encodes data as one chunk; empty data gives the last chunk.
 fn chunk(data: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", data.len()).as_bytes(), data, b"\r\n"].concat()
 }
 
+/// Reads one answer from a node.
 struct Reader<'a> {
     socket: &'a mut Socket,
     dialect: &'a Dialect,
     buf: Vec<u8>,
     by: Instant,
-    /// The answer passes to the client as it comes.
+    /// The answer is being streamed to the client.
     passing: bool,
 }
 
-/// Why an answer did not come whole.
+/// Why an answer is incomplete.
 enum Stop {
     Saw(Saw),
-    /// The client wants no more of it.
+    /// The client no longer wants the answer.
     Unwanted,
 }
 
 impl Reader<'_> {
-    /// Reads more; false at the end of the stream.
+    /// Reads more bytes. Returns false at the end of the stream.
     fn fill(&mut self) -> Result<bool, Stop> {
         let mut part = [0; 8192];
         if self.passing {
-            // It is the client's now: neither the pick's time nor the RPC's deadline runs on.
+            // The answer now belongs to the client: neither the pick's timeout nor the RPC's deadline applies
+            // any longer.
             self.by = Instant::now() + STALLED;
         }
         match self.socket.read(&mut part, Some(self.by)) {
@@ -276,8 +291,9 @@
         }
     }
 
+    /// Reads the final response head; `to_head`: the request was a HEAD.
     fn head(&mut self, to_head: bool) -> Result<Response, Stop> {
-        // Interim answers say nothing that concerns us; a node that sends nothing else is stopped.
+        // Interim responses (1xx) are skipped. The limit stops a node that sends nothing else.
         for _ in 0..8 {
             let head = loop {
                 match http::response(&self.buf, to_head) {
@@ -300,6 +316,7 @@
         Err(Stop::Saw(Saw::Garbled))
     }
 
+    /// Reads the whole answer. A long successful one is streamed to the client.
     fn answer(&mut self, verb: &str, caller: &mut dyn Caller) -> (Saw, Option<Answer>) {
         let head = match self.head(verb == "HEAD") {
             Ok(head) => head,
@@ -319,6 +336,7 @@
         }
     }
 
+    /// Reads the body into `answer`, or streams it once it exceeds the buffer.
     fn body(
         &mut self, answer: &mut Answer, outcome: ivydrift_marshal::Outcome, caller: &mut dyn Caller,
     ) -> Result<(), Stop> {
@@ -339,7 +357,7 @@
                         }
                     } else if answer.body.len() > HELD && !walk.ended() {
                         if outcome != ivydrift_marshal::Outcome::Ok {
-                            // A long error is of use to nobody: its status has been seen.
+                            // The rest of a long error response is not needed: its status is known.
                             answer.head.keep_alive = false;
                             return Ok(());
                         }
@@ -374,6 +392,7 @@
     }
 }
 
+/// Streams data to the client, chunked if `chunks` is set.
 fn pass(caller: &mut dyn Caller, data: &[u8], chunks: bool) -> Result<(), Stop> {
     let wanted = if chunks { caller.part(&chunk(data)) } else { caller.part(data) };
     wanted.then_some(()).ok_or(Stop::Unwanted)
--- a/crates/edge/src/guard.rs
+++ b/crates/edge/src/guard.rs
@@ -1,7 +1,8 @@
-//! The one guard that every attempt passes on its way to a node, and the run-time checks of the operators' rules.
+//! The guard that every attempt passes before it is sent to a node, and run-time checks of the operators'
+//! rules.
 //!
-//! What the guard withholds is ordinary and counted by its reason. A violation is a rule that was broken all the same:
-//! it is counted and logged as an error, whoever is to blame.
+//! Withheld attempts are normal and counted by reason. A violation is a rule that was broken nevertheless: it
+//! is counted and logged as an error, whatever its cause.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,10 +13,10 @@
 use crate::exchange::Admission;
 use crate::Edge;
 
-/// An attempt may begin this much after its client's time, or after the client was seen to leave.
+/// Tolerance for an attempt that begins after its deadline, or after the client was seen to leave.
 const SLACK: Duration = Duration::from_millis(100);
 
-/// Counts since the start.
+/// Counters since the process started.
 #[derive(Default)]
 pub struct Guard {
     withheld_withdrawn: AtomicU64,
@@ -25,25 +26,28 @@
     closed_unanswered: AtomicU64,
 }
 
-/// Attempts that were decided and not sent, by reason.
+/// Attempts that were decided on but not sent, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WithheldCounts {
+    /// The node had been withdrawn from the list.
     pub withdrawn: u64,
+    /// The node list was too old.
     pub stale_list: u64,
 }
 
-/// Rules that were broken, by rule.
+/// Broken rules, by rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// New work went to a node later than the grace after it was told to drain or be gone.
+    /// An attempt was sent to a node later than the drain grace after that node began to drain or was gone.
     pub sent_to_withdrawn: u64,
-    /// An attempt began after its time was over.
+    /// An attempt began after its deadline.
     pub sent_too_late: u64,
-    /// A request was read and its connection closed without an answer, though the client was there.
+    /// A request was read and its connection closed without an answer although the client was connected.
     pub closed_unanswered: u64,
 }
 
 impl Guard {
+    /// Attempts withheld so far.
     pub fn withheld(&self) -> WithheldCounts {
         WithheldCounts {
             withdrawn: self.withheld_withdrawn.load(Ordering::Relaxed),
@@ -51,6 +55,7 @@
         }
     }
 
+    /// Violations so far.
     pub fn violations(&self) -> Violations {
         Violations {
             sent_to_withdrawn: self.sent_to_withdrawn.load(Ordering::Relaxed),
@@ -59,7 +64,7 @@
         }
     }
 
-    /// A request that was read ends without an answer to a client that is there.
+    /// Records that a request ended without an answer to a client that is still connected.
     pub fn closed_unanswered(&self, id: Id) {
         self.closed_unanswered.fetch_add(1, Ordering::Relaxed);
         tracing::error!(id, rule = "lost", "violation: a request was read and closed without an answer");
@@ -71,6 +76,7 @@
     pub edge: &'a Edge,
     pub id: Id,
     pub node: SocketAddr,
+    /// The attempt's deadline.
     pub by: Instant,
 }
 
--- a/crates/edge/src/held.rs
+++ b/crates/edge/src/held.rs
@@ -1,4 +1,5 @@
-//! The services that are held, and who follows the list and the desk of each.
+//! The services that this marshal holds, and the coroutines that watch the node list and the rollout
+//! controller of each.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,23 +11,26 @@
 use crate::query::Line;
 use crate::{news, Edge};
 
-/// A service that is held, as the shell knows it.
+/// A held service as the shell sees it.
 pub struct Held {
+    /// The core's id for the service.
     pub of: Hold,
-    /// None: `places.service`, whatever the terms call it.
+    /// `None` for `places.service`, whatever its name in the config.
     pub service: Option<Arc<str>>,
-    /// Who follows the node list.
+    /// The coroutine that watches the node list.
     follower: Mutex<Follower>,
+    /// This marshal's votes on the service's rollout.
     pub votes: Mutex<news::Votes>,
-    /// What was last said to be wrong with its list.
+    /// The rejected node-list entries that were last logged.
     pub complained: Mutex<Vec<Rejected>>,
-    /// Connections to list and desk on which an answer may be waited for.
+    /// Connections to discovery and to the rollout controller on which a query may be waiting.
     pub list: Line,
     pub desk: Line,
     gone: AtomicBool,
 }
 
 impl Held {
+    /// A held service that nothing watches yet.
     pub fn new(of: Hold, service: Option<Arc<str>>) -> Arc<Held> {
         Arc::new(Held {
             of,
@@ -40,36 +44,37 @@
         })
     }
 
-    /// It is held no longer: whoever follows its list or desk stops.
+    /// Whether the service is no longer held, so that its watches must stop.
     pub fn gone(&self) -> bool {
         self.gone.load(Ordering::Acquire)
     }
 }
 
-/// Who follows a node list: one coroutine at a time.
+/// The watch of a node list: one coroutine at a time.
 #[derive(Default)]
 struct Follower {
-    /// Counts the claims; the latest is the only one that holds.
+    /// Number of claims so far; only the latest is valid.
     serial: u64,
     current: Option<Claimed>,
 }
 
+/// The valid claim on a node list.
 struct Claimed {
-    /// The count of moves for which the list is followed.
+    /// The value of `Edge::moves` for which the list is watched.
     moves: u64,
-    /// It has to report by then, or it counts as stuck.
+    /// The watcher counts as stuck if it does not report by this time.
     due: Instant,
 }
 
-/// The right to follow a node list, until it is dropped or another takes it over.
+/// The right to watch a node list, until it is dropped or taken over by another coroutine.
 pub struct FollowClaim {
     held: Arc<Held>,
     serial: u64,
 }
 
 impl Held {
-    /// Claims the list at the place of this count of moves. None where somebody follows it there and is not stuck:
-    /// a coroutine that ended by a panic, or hangs in a call, must not keep the list for ever.
+    /// Claims the watch of the list for this value of `Edge::moves`. Returns `None` if a coroutine that is
+    /// not stuck already watches it: one that panicked or hangs in a call must not keep the list for ever.
     pub fn claim(self: &Arc<Self>, moves: u64, within: Duration) -> Option<FollowClaim> {
         let mut follower = self.follower.lock().unwrap();
         let now = Instant::now();
@@ -83,7 +88,7 @@
 }
 
 impl FollowClaim {
-    /// The next call ends within this time. False where another has taken over.
+    /// Announces that the next call ends within this time. Returns false if another coroutine has taken over.
     pub fn extend(&self, within: Duration) -> bool {
         let mut follower = self.held.follower.lock().unwrap();
         let holds = follower.serial == self.serial;
@@ -103,6 +108,7 @@
     }
 }
 
+/// The services held in addition to `places.service`.
 #[derive(Default)]
 pub struct Holds(Mutex<HashMap<Hold, Arc<Held>>>);
 
@@ -113,7 +119,7 @@
 }
 
 impl Edge {
-    /// Whom an order is about; none where that is held no longer.
+    /// The service that an order concerns, or `None` if it is no longer held.
     pub fn held(&self, of: Hold) -> Option<Arc<Held>> {
         if of == HOME {
             return Some(self.home.clone());
@@ -121,17 +127,20 @@
         self.holds.0.lock().unwrap().get(&of).cloned()
     }
 
+    /// Begins to hold a service, and watches its rollout controller.
     pub fn follow(self: &Arc<Self>, of: Hold, service: Arc<str>) {
         let held = Held::new(of, Some(service.clone()));
         self.holds.0.lock().unwrap().insert(of, held.clone());
         tracing::info!(service = &*service, "service begun");
         news::follow_desk_of(self, &held);
-        // Orders are carried out outside the core's lock: that to leave may have come before this one.
+        // Orders are carried out outside the core's lock, so the order to drop the service may have been
+        // handled first.
         if !self.core.lock().unwrap().holds(of) {
             self.end_hold(of);
         }
     }
 
+    /// Drops a service that is no longer needed.
     pub fn unfollow(&self, of: Hold, service: &str, why: Dropped) {
         tracing::info!(service, why = why.word(), "service dropped");
         self.end_hold(of);
@@ -140,13 +149,13 @@
     fn end_hold(&self, of: Hold) {
         let Some(held) = self.holds.0.lock().unwrap().remove(&of) else { return };
         held.gone.store(true, Ordering::Release);
-        // Else each would wait for an answer of a service that nobody asks for any more.
+        // Otherwise each watch would keep waiting for an answer about a service that is no longer needed.
         for line in [&held.list, &held.desk] {
             line.cut();
         }
     }
 
-    /// List and desk have moved: they are followed at their new places.
+    /// Watches node lists and rollout controller at their new addresses after a move.
     pub fn follow_all(self: &Arc<Self>) {
         for held in std::iter::once(self.home.clone()).chain(self.holds.all()) {
             news::follow_desk_of(self, &held);
--- a/crates/edge/src/ids/mod.rs
+++ b/crates/edge/src/ids/mod.rs
@@ -1,4 +1,5 @@
-//! Ids of RPCs in hand and of those that ended lately. A node that saw one twice would run it twice.
+//! Ids of RPCs that are in progress or ended recently. A node that received the same id twice would run the
+//! RPC twice.
 
 #[cfg(test)]
 mod tests;
@@ -7,23 +8,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An id stays taken for this long after its RPC has ended, and for as long as a client may wait where that is
-/// longer: until then a copy may still come that was sent before the answer.
+/// An id stays claimed for this long after its RPC has ended, or for the client's timeout if that is longer:
+/// until then a copy that was sent before the answer may still arrive.
 const TAKEN: Duration = Duration::from_secs(8);
-/// The most ids of ended RPCs that are remembered: 2 MB. Those in hand are bounded by the connections.
+/// The most ids of ended RPCs that are remembered; they take 2 MB. Ids in progress are limited by the number
+/// of connections.
 const MOST: usize = 20_000;
 
+/// The ids that are claimed or remembered.
 #[derive(Default)]
 pub struct Ids(Mutex<Known>);
 
 #[derive(Default)]
 struct Known {
     all: HashSet<Arc<str>>,
-    /// Those that have ended, and until when each is remembered.
+    /// Ids of ended RPCs, each with the time until which it is remembered.
     ended: VecDeque<(Instant, Arc<str>)>,
 }
 
-/// An id that is taken as long as this lives, and for a while after.
+/// An id that is claimed while this value lives, and for a while after.
 pub struct Claim<'a> {
     ids: &'a Ids,
     id: Arc<str>,
@@ -31,7 +34,7 @@
 }
 
 impl Ids {
-    /// Takes an id whose client waits no longer than `patience`; none where it is taken.
+    /// Claims an id whose client waits no longer than `patience`. Returns `None` if it is already claimed.
     pub fn claim(&self, id: &str, patience: Duration) -> Option<Claim<'_>> {
         let id: Arc<str> = id.into();
         let mut known = self.0.lock().unwrap();
@@ -41,6 +44,7 @@
 }
 
 impl Known {
+    /// Releases the ids of ended RPCs that have expired or exceed the limit.
     fn forget(&mut self, now: Instant) {
         while self.ended.front().is_some_and(|(until, _)| now >= *until) || self.ended.len() > MOST {
             if let Some((_, old)) = self.ended.pop_front() {
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
 //! The marshal on real sockets: a thin shell around [`ivydrift_marshal::Core`], on `may` coroutines.
 //!
-//! Each client connection is one coroutine, which also carries the picks of its RPC; what the core orders for
-//! another connection's RPC is posted to it. The core is behind one lock, held for a few microseconds and
-//! never across a wait. List, desk, peers and time have a coroutine each.
+//! Each client connection is one coroutine, which also runs the picks of its RPC; orders that concern another
+//! connection's RPC are posted to that connection. The core is behind one lock, held for a few microseconds
+//! and never across a wait. Discovery, rollout controller, peers and timers have a coroutine each.
 #![forbid(unsafe_code)]
 
 mod clients;
@@ -43,66 +43,79 @@
 use pool::Pool;
 pub use running::{start, start_on_platform, Running};
 
-/// The shell's zero lies this long before its start, so that nodes which started earlier have an age.
+/// The shell's clock starts this long before the process, so that nodes that started earlier have a positive
+/// age.
 const BEFORE: Duration = Duration::from_secs(86_400);
-/// How often clients in hand are looked at, whether they have left.
+/// Interval at which clients with an RPC in progress are checked for disconnects.
 const LOOK: Duration = Duration::from_millis(50);
-/// The clock coroutine woke this much too late: the process stood still.
+/// If the timer coroutine wakes up this much too late, the process was stalled.
 const STALL: Duration = Duration::from_millis(300);
-/// An address that another process listens on is asked for again for so long: longer than a stop lets clients come.
+/// How long binding is retried while another process holds the address: longer than a stopping marshal lets
+/// clients connect.
 const HANDOVER: Duration = Duration::from_secs(2);
-/// A start that knows nodes from before says that it is ready after so long, though discovery has not confirmed them: it
-/// refuses what it gets until then.
+/// A marshal that starts with nodes known from before reports ready after this long even if discovery has not
+/// confirmed them. It rejects RPCs until discovery does.
 const CONFIRMED_LATEST: Duration = Duration::from_millis(3500);
-/// Descriptors for all but clients and nodes: listener, event queue, list, desk, votes, standard streams.
+/// Descriptors for everything but clients and nodes: listener, event queue, discovery, rollout controller,
+/// votes, standard streams.
 const OTHERS: usize = 16;
 
+/// State of a marshal, shared by its coroutines.
 pub struct Edge {
     dialect: Dialect,
     core: Mutex<Services>,
-    /// `places.service`, and the services held beside it.
+    /// `places.service`, and the services held in addition to it.
     home: Arc<held::Held>,
     holds: held::Holds,
-    /// The clients whose RPCs are in hand.
+    /// The clients with an RPC in progress.
     inhand: Mutex<HashMap<Id, Arc<Client>>>,
     clients: Mutex<HashMap<u64, Arc<Client>>>,
-    /// How many those are.
+    /// Number of entries in `clients`.
     present: AtomicUsize,
-    /// Client connections whose coroutines have not ended, those that made room for others among them.
+    /// Client connections whose coroutines have not ended, including those closed to free a slot.
     open: AtomicUsize,
+    /// The name of the next client connection.
     names: AtomicU64,
-    /// The listener stands: connections may wait in its queue.
+    /// The listener is open, so connections may wait in its backlog.
     accepting: AtomicBool,
     pool: Pool,
     guard: guard::Guard,
-    /// What new terms may change.
+    /// The settings that a config reload may change.
     live: Mutex<Live>,
-    /// Counts how often list or desk have moved: who follows an earlier one stops.
+    /// Counts how often discovery or the rollout controller has moved. A watch of an earlier address stops.
     moves: AtomicU64,
+    /// This marshal's number.
     number: usize,
+    /// This marshal's name in `Via`.
     via: String,
+    /// Socket for datagrams to and from peers, if peers are configured.
     peers: Option<UdpSocket>,
     started: Instant,
+    /// The id last given to an RPC.
     ids: AtomicU64,
+    /// Shutdown has begun; clients that still connect are served.
     stop: AtomicBool,
-    /// Nothing new is taken any more.
+    /// No new connections are accepted any more.
     close: AtomicBool,
-    /// Held where what a place says is told, and where the place changes: of an earlier place nothing is told after.
+    /// Held while data from discovery or the rollout controller is passed to the core, and while their
+    /// addresses change: nothing from an earlier address is passed on after a move.
     telling: Mutex<()>,
-    /// When the process was last seen to have stood still, and when the clock coroutine last ran, in
-    /// milliseconds of our time.
+    /// When a stall of the process was last detected, and when the timer coroutine last ran, in milliseconds
+    /// on the shell's clock.
     stood: AtomicU64,
     ticked: AtomicU64,
 }
 
+/// Settings that a config reload may change.
 #[derive(Clone)]
 struct Live {
     bounds: Bounds,
     places: Arc<Places>,
     vote_wait: Duration,
+    /// The longest deadline of a method.
     longest: Duration,
     methods: Names,
-    /// Whether each may run again.
+    /// Whether each method may run more than once.
     safe: Arc<Vec<bool>>,
 }
 
@@ -120,13 +133,14 @@
     }
 }
 
-// Std locks below guard short sections without a yield; a coroutine never waits while it holds one.
+// The std locks below guard short sections without a yield; a coroutine never waits while it holds one.
 impl Edge {
+    /// The current time on the shell's clock, as the core sees it.
     fn now(&self) -> Duration {
         BEFORE + self.started.elapsed()
     }
 
-    /// A time of the core's as one of this process.
+    /// Converts a time of the core to an `Instant`.
     fn instant(&self, at: Duration) -> Instant {
         self.started + at.saturating_sub(BEFORE)
     }
@@ -151,14 +165,15 @@
         self.core.lock().unwrap().ready()
     }
 
-    /// It can serve, or would keep those waiting who ask: a list that does not come is no reason to be gone.
+    /// Whether the marshal reports ready: it can serve RPCs, or it has waited so long that a missing node
+    /// list must no longer keep it out of service.
     fn serves(&self) -> bool {
         let waited = |latest| self.started.elapsed() >= latest;
         let lists = self.ready() > 0 && (self.list_holds() || waited(CONFIRMED_LATEST));
         lists || self.bounds().ready_latest.is_some_and(waited)
     }
 
-    /// New work may be sent by the list of `places.service`.
+    /// Whether the node list of `places.service` is fresh enough to send new work by.
     fn list_holds(&self) -> bool {
         self.core.lock().unwrap().list_holds(self.now())
     }
@@ -167,15 +182,15 @@
         self.stop.load(Ordering::Acquire)
     }
 
-    /// The process stood still a moment ago. Whichever coroutine wakes first must see it, so the clock's last
-    /// run counts as well as what the clock has found.
+    /// Whether the process was stalled a moment ago. Whichever coroutine wakes first must notice, so the time
+    /// of the timer's last run counts as well as the stalls that the timer has detected.
     fn stalled(&self) -> bool {
         let at = |ms: &AtomicU64| Duration::from_millis(ms.load(Ordering::Relaxed));
         let (stood, ticked, now) = (at(&self.stood), at(&self.ticked), self.now());
         now > ticked + STALL || (!stood.is_zero() && now < stood + Duration::from_secs(5))
     }
 
-    /// Takes an RPC in hand and hears what to do first.
+    /// Registers an RPC as in progress and returns the core's first orders for it.
     fn begin(self: &Arc<Self>, id: Id, client: &Arc<Client>, input: Input) -> Vec<Order> {
         self.inhand.lock().unwrap().insert(id, client.clone());
         let mut clients = self.clients.lock().unwrap();
@@ -190,12 +205,12 @@
         self.inhand.lock().unwrap().remove(&id);
     }
 
-    /// Tells the core what happened. Orders for RPC `own` come back, all others are carried out or posted.
+    /// Passes an event to the core. Returns the orders for RPC `own`; all others are carried out or posted.
     fn tell(self: &Arc<Self>, input: Input, own: Id) -> Vec<Order> {
         self.tell_of(HOME, input, own)
     }
 
-    /// The same; `of`: whose list or desk said it.
+    /// Like `tell`, for an event from the node list or the rollout controller of service `of`.
     fn tell_of(self: &Arc<Self>, of: Hold, input: Input, own: Id) -> Vec<Order> {
         let said = self.core.lock().unwrap().handle(self.now(), of, input);
         let mut mine = Vec::new();
@@ -228,7 +243,7 @@
                 Order::CloseIdle { node } => self.pool.close(node),
                 Order::Tell { to, datagram } => {
                     if let (Some(socket), Some(addr)) = (&self.peers, self.live().places.peers.get(to)) {
-                        // Loss does no harm, waiting would.
+                        // Losing a datagram does no harm; waiting would.
                         let _ = socket.inner().send_to(&datagram, addr);
                     }
                 }
@@ -242,6 +257,7 @@
         mine
     }
 
+    /// Sends an order to the connection that serves this RPC.
     fn post(self: &Arc<Self>, id: Id, order: Order) {
         let client = self.inhand.lock().unwrap().get(&id).cloned();
         if !client.is_some_and(|client| client.post(&order)) {
@@ -249,14 +265,15 @@
         }
     }
 
-    /// An order that nobody will carry out. A pick among them counts as out until its end is told.
+    /// Handles an order that will not be carried out. The core counts a pick as in flight until it is told of
+    /// its end.
     fn not_begun(self: &Arc<Self>, order: &Order) {
         if let Order::Pick { id, pick, .. } = *order {
             self.tell(Input::Ended { id, pick, saw: Saw::NotBegun }, 0);
         }
     }
 
-    /// Enters a client connection, under a name; none where there are too many.
+    /// Registers a client connection and returns its name, or `None` if there are too many connections.
     fn enter(&self, client: &Arc<Client>) -> Option<u64> {
         let mut clients = self.clients.lock().unwrap();
         if clients.len() >= self.bounds().crowd {
@@ -272,13 +289,13 @@
         })
     }
 
-    /// So many clients are here that each should leave with its answer.
+    /// Whether there are so many clients that each connection should close after its answer.
     fn crowded(&self) -> bool {
         self.present.load(Ordering::Relaxed) >= self.bounds().crowd
     }
 
-    /// So many client connections, or the descriptors with them, are too many. An RPC in hand may need one more, to
-    /// its node.
+    /// Whether this many client connections, or the descriptors they need, exceed the limits. An RPC in
+    /// progress may need one more descriptor for its node.
     fn full(&self, clients: usize) -> bool {
         let bounds = self.bounds();
         let inhand = self.inhand.lock().unwrap().len();
@@ -286,22 +303,24 @@
         clients > bounds.clients || bounds.descriptors.is_some_and(|most| wanted > most)
     }
 
-    /// Closes the client connection that is missed least; false where each has a message in hand.
+    /// Closes the least valuable client connection to free a slot. Returns false if each has a message in
+    /// progress.
     fn make_room(&self, clients: &mut HashMap<u64, Arc<Client>>) -> bool {
         let mut spare: Vec<_> = clients.iter().filter_map(|(name, c)| Some((c.spare()?, *name))).collect();
         spare.sort_unstable();
-        // One of them may have been sent a message since it was looked at: then the next makes room.
+        // A client may have sent a message since it was ranked; then the next one is closed instead.
         let given = spare.iter().rev().map(|(_, name)| *name).find(|name| clients[name].give_up());
         given.and_then(|name| clients.remove(&name)).is_some()
     }
 
-    /// Over how many milliseconds the clients should come back if this marshal goes: clients cannot know how many
-    /// others there are. None where all could come at once.
+    /// Milliseconds over which clients should spread their reconnects if this marshal goes away, because a
+    /// client cannot know how many others there are. `None` if all may reconnect at once.
     fn spread_ms(&self) -> Option<u64> {
         let ms = self.present.load(Ordering::Relaxed) as u64 * 1000 / self.bounds().handshakes as u64;
         Some(ms).filter(|&ms| ms >= 250)
     }
 
+    /// Removes a client connection whose coroutine ends.
     fn leave(&self, name: u64) {
         let mut clients = self.clients.lock().unwrap();
         clients.remove(&name);
@@ -309,37 +328,42 @@
         self.open.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Tells what list or desk said, unless they have moved from the place that said it: then none.
+    /// Passes on data from discovery or the rollout controller. Returns `None` without doing so if they have
+    /// moved since the address `moves` was current.
     fn unless_moved<T>(&self, moves: u64, tell: impl FnOnce() -> T) -> Option<T> {
         let _telling = self.telling.lock().unwrap();
         (self.moves.load(Ordering::Acquire) == moves).then(tell)
     }
 
-    /// List and desk have moved: from here on nothing of their earlier places is taken.
+    /// Records a move of discovery or the rollout controller. Nothing from their earlier addresses is
+    /// accepted afterwards.
     fn leave_places(&self, then: impl FnOnce()) {
         let _telling = self.telling.lock().unwrap();
         self.moves.fetch_add(1, Ordering::AcqRel);
         then();
     }
 
-    /// Tells the core how the wall clock stands to our time, before times of others are read by it.
+    /// Gives the core the offset between the wall clock and the shell's clock, before it interprets
+    /// timestamps from elsewhere.
     fn read_wall_clock(&self) {
         let zero_ms = unix_zero_ms(self.now());
         self.core.lock().unwrap().read_wall_clock(zero_ms);
     }
 
+    /// Logs the rejected entries of a service's node list when they change.
     fn complain_of_list(&self, held: &held::Held) {
         let found = self.core.lock().unwrap().rejected(held.of).to_vec();
         let mut known = held.complained.lock().unwrap();
         if *known != found {
             for one in &found {
                 let service = held.service.as_deref();
-                tracing::warn!(node = one.node, why = one.why, service, "node list");
+                tracing::warn!(node = one.node, why = one.why, service, "node list entry rejected");
             }
             *known = found;
         }
     }
 
+    /// Tells the core of clients that have disconnected while their RPC was in progress.
     fn look_at_clients(self: &Arc<Self>) {
         let inhand: Vec<(Id, Arc<Client>)> =
             self.inhand.lock().unwrap().iter().map(|(id, c)| (*id, c.clone())).collect();
@@ -351,6 +375,7 @@
         }
     }
 
+    /// Closes the client connections on which no message has begun.
     fn close_idle_clients(&self) {
         for client in self.clients.lock().unwrap().values() {
             if client.quiet() {
@@ -359,7 +384,7 @@
         }
     }
 
-    /// Answers who asks what this marshal knows of the others.
+    /// Answers a query for this marshal's view of its peers.
     fn show_peers(&self, socket: &UdpSocket, to: SocketAddr, first: u16) {
         let view = self.core.lock().unwrap().peers(self.now(), first);
         let page = view.map(|(view, more)| peer::page(&view, &more));
@@ -369,19 +394,20 @@
         }
     }
 
-    /// How many services are held beside `places.service`, and their reckoned bytes.
+    /// Number of services held in addition to `places.service`, and an estimate of their memory in bytes.
     fn services(&self) -> (usize, usize) {
         let core = self.core.lock().unwrap();
         (core.held().count(), core.bytes())
     }
 
+    /// The core's counts since the start.
     pub fn counts(&self) -> Counts {
         self.core.lock().unwrap().counts()
     }
 }
 
-/// Listens. A marshal of the same name that is just stopping has the address for a moment still, and the machine may be
-/// short of sockets for a moment.
+/// Binds the listener. Retries for a while, because a stopping marshal on the same address may still hold it,
+/// and because the machine may briefly be short of sockets.
 fn listen(addr: SocketAddr) -> io::Result<Listener> {
     let by = Instant::now() + HANDOVER;
     loop {
@@ -394,12 +420,13 @@
     }
 }
 
-/// Unix time of our zero, by the wall clock as it stands at this time of ours.
+/// Unix time, in milliseconds, of the shell's zero; `now` is the shell's current time.
 fn unix_zero_ms(now: Duration) -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     unix.saturating_sub(now).as_millis() as u64
 }
 
+/// Binds the addresses and sets up a marshal's state; no coroutine runs yet.
 fn prepare(terms: Terms, dialect: Dialect) -> io::Result<(Arc<Edge>, Listener)> {
     coroutine::prepare(terms.bounds.workers);
     let listener = listen(terms.places.listen)?;
@@ -440,7 +467,8 @@
     Ok((edge, listener))
 }
 
-/// Lets it listen, follow list and desk, and keep time; the address that it listens on.
+/// Starts the coroutines that accept clients, watch discovery and the rollout controller, and run timers.
+/// Returns the listening address and the accept loop's waker.
 fn begin(edge: &Arc<Edge>, listener: Listener) -> (SocketAddr, Waker) {
     let waker = listener.waker();
     let listens = listener.local_addr().unwrap_or_else(|_| edge.live().places.listen);
@@ -456,9 +484,9 @@
     (listens, waker)
 }
 
-/// Wakes the core when it is due, and looks after clients and idle connections.
+/// Starts the timer coroutine and the one that checks clients and idle connections.
 fn keep_time(edge: &Arc<Edge>) {
-    // From here on, or a standstill before the first round would not be seen.
+    // Set before the first round, so that a stall before it is detected.
     edge.ticked.store(edge.now().as_millis() as u64, Ordering::Relaxed);
     let ticking = edge.clone();
     go(move || insist(|| tick(&ticking)));
@@ -466,19 +494,19 @@
     go(move || insist(|| look_after(&looking)));
 }
 
-/// Wakes the core when it is due, for ever.
+/// Sends the core a tick whenever one is due, and detects stalls. Never returns.
 fn tick(ticking: &Arc<Edge>) {
     loop {
         let due = ticking.core.lock().unwrap().due();
         let wait = due.saturating_sub(ticking.now()).min(Duration::from_millis(20));
         pause(wait.max(Duration::from_micros(500)));
-        // Against the last round, not the last pause: a standstill may begin anywhere in a round.
+        // Measured from the last round, not the last pause: a stall may begin anywhere in a round.
         let (now, ticked) = (ticking.now(), Duration::from_millis(ticking.ticked.load(Ordering::Relaxed)));
         let round = now.saturating_sub(ticked);
         if round > wait + STALL {
             ticking.stood.store(now.as_millis() as u64, Ordering::Relaxed);
             tracing::warn!(stood_ms = round.as_millis() as u64, "this process stood still");
-            // Clients that left meanwhile first: nothing more is sent for them.
+            // Reports clients that left during the stall first, so that nothing more is sent for them.
             ticking.look_at_clients();
         }
         ticking.ticked.store(ticking.now().as_millis() as u64, Ordering::Relaxed);
@@ -486,7 +514,7 @@
     }
 }
 
-/// Looks after clients and idle connections, and logs the counts, for ever.
+/// Checks clients and idle connections and logs the counts. Never returns.
 fn look_after(looking: &Arc<Edge>) {
     for round in 0u64.. {
         pause(LOOK);
@@ -523,6 +551,7 @@
     go(move || insist(|| hear(&edge)));
 }
 
+/// Receives datagrams from peers. Never returns.
 fn hear(edge: &Arc<Edge>) {
     let Some(socket) = &edge.peers else { return };
     let mut datagram = [0; peer::DATAGRAM_BYTES + 1];
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -1,8 +1,10 @@
-//! Follows the operators' list of nodes: a watch of held calls, each of which says that discovery lives.
+//! Watches the operators' node list by long polling. Each held call that is answered confirms that discovery
+//! is alive.
 //!
-//! A call that goes on with a watch is answered within its hold. One that opens a watch may wait in discovery's queue
-//! before it is held, and is refused there after some 2 s: it is not given up before, or its turn is spent on nobody,
-//! the next call waits behind it, and no marshal of a crowd ever gets an answer.
+//! A call that continues a watch is answered within its hold time. A call that opens a watch may first wait
+//! in discovery's queue, where it is refused after some 2 s. It must not time out earlier: its slot in the
+//! queue would be spent on a closed connection, the next call would wait behind it, and in a crowd no marshal
+//! would ever get an answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,54 +19,57 @@
 use crate::query::{QueryClient, QueryError};
 use crate::Edge;
 
-/// An answer of a watch that goes on may take this much longer than its hold.
+/// How much longer than its hold time the answer of a continued watch may take.
 const CONTINUED_SLACK: Duration = Duration::from_millis(800);
-/// A call that opens a watch may wait this long for its turn, beside its hold.
+/// How long a call that opens a watch may wait in the queue, in addition to its hold time.
 const QUEUE: Duration = Duration::from_millis(2600);
-/// A call that opens a watch is held for this long at most: its answer shows soon that discovery lives.
+/// The longest hold time of a call that opens a watch. It is short so that the answer soon shows that
+/// discovery is alive.
 const OPENING_HOLD: Duration = Duration::from_millis(400);
-/// Discovery that answers at once whatever is asked is asked no sooner again; within 200 ms a watch goes on.
+/// Minimum interval between calls if discovery answers at once. A watch continues if the next call comes
+/// within 200 ms.
 const BREATH: Duration = Duration::from_millis(100);
 
-/// A refusal that comes sooner than this did not wait in the queue.
+/// A refusal faster than this did not wait in the queue.
 const AT_ONCE: Duration = Duration::from_millis(500);
 
-/// Why a call has brought no list.
+/// Why a call returned no list.
 enum CallError {
     Query(QueryError),
-    /// The answer is no list, or none that follows on what is known.
+    /// The answer is malformed, or its changes do not apply to the known revision.
     Unusable(String),
 }
 
-/// What to do after a call that failed.
+/// What to do after a failed call.
 enum Next {
-    /// Another call at once, on a new connection.
+    /// Call again at once on a new connection.
     Again,
-    /// The watch is lost; the module says when to ask again.
+    /// The watch is lost; the core decides when to ask again.
     Lost,
 }
 
+/// One watch of the node list.
 struct Follower<'a> {
     edge: &'a Arc<Edge>,
     platform: &'a Platform,
     claim: &'a FollowClaim,
     client: QueryClient,
-    /// The last call was answered, so that the next one goes on with its watch.
+    /// The last call was answered, so the next one continues its watch.
     continues: bool,
-    /// A call that failed was made again at once.
+    /// A failed call has already been retried at once.
     repeated: bool,
 }
 
-/// One call, as it was made.
+/// One call and its parameters.
 struct Call {
     asked: Instant,
     hold: Duration,
     continued: bool,
-    /// Changes were asked for, not the whole list.
+    /// The call asked for changes, not for the whole list.
     changes: bool,
 }
 
-/// Follows the list until it fails; the module then says when to ask again.
+/// Watches the list until a call fails; the core then decides when to ask again.
 pub fn follow(edge: &Arc<Edge>, claim: FollowClaim, moves: u64) {
     let edge = edge.clone();
     go(move || {
@@ -87,14 +92,16 @@
 }
 
 impl Follower<'_> {
-    /// One call and what comes of it; none where the list has moved meanwhile, or another follows it.
+    /// Makes one call and handles its result. Returns `None` if the list has moved in the meantime or another
+    /// coroutine has taken over the watch.
     fn step(&mut self, moves: u64) -> Option<Next> {
         let (call, answer) = self.call();
         let edge = self.edge;
         if !self.claim.extend(STUCK) {
             return None;
         }
-        // Taken and told as one: between them the list could move, and what is told there be overtaken.
+        // Applied and passed on in one step: otherwise the list could move in between, and newer data be
+        // overwritten.
         let taken = edge.unless_moved(moves, || {
             let taken = answer.map_err(CallError::Query).and_then(|body| self.take(&body));
             match &taken {
@@ -114,6 +121,7 @@
         })
     }
 
+    /// Makes one call.
     fn call(&mut self) -> (Call, Result<Vec<u8>, QueryError>) {
         let continued = self.continues;
         let longest = self.edge.bounds().list_hold;
@@ -130,6 +138,7 @@
         (call, answer.map(|reply| reply.body))
     }
 
+    /// Applies an answer to the catalog and passes the list to the core.
     fn take(&self, body: &[u8]) -> Result<(), CallError> {
         let mut catalog = self.platform.catalog.lock().unwrap();
         catalog.take(&String::from_utf8_lossy(body)).map_err(CallError::Unusable)?;
@@ -140,8 +149,8 @@
         Ok(())
     }
 
-    /// The list was known in full when the answer was written: by the end of the hold, however late it is read. A
-    /// process that stood still can't say more than that it was after the call.
+    /// The list was complete and current when the answer was written, which is by the end of the hold time,
+    /// however late it is read. A process that was stalled only knows that it was after the call began.
     fn confirm(&self, call: &Call) {
         let asked = self.edge.now().saturating_sub(call.asked.elapsed());
         let as_of = if self.edge.stalled() { asked } else { self.edge.now().min(asked + call.hold) };
@@ -149,7 +158,7 @@
         self.edge.tell(Input::Discovery(DiscoverySign::Confirmed { as_of, next_within }), 0);
     }
 
-    /// What a call that failed shows of discovery.
+    /// Passes on what a failed call shows about discovery.
     fn show(&self, call: &Call, why: &CallError) {
         let CallError::Query(error) = why else { return };
         let took = call.asked.elapsed();
@@ -159,7 +168,7 @@
             QueryError::Status(_) => {
                 DiscoverySign::RefusedLate { asked: self.edge.now().saturating_sub(took) }
             }
-            // In an outage calls are refused or reset: this one was accepted.
+            // During an outage, calls are refused or reset; this one was accepted.
             QueryError::TimedOut => DiscoverySign::Lives,
             error if error.refused_connection() => DiscoverySign::Unreachable,
             _ => return,
@@ -167,14 +176,15 @@
         self.edge.tell(Input::Discovery(sign), 0);
     }
 
+    /// Decides what follows a failed call.
     fn fail(&mut self, call: &Call, why: &CallError) -> Next {
         let first = !std::mem::replace(&mut self.repeated, true);
         self.continues = false;
         let again = match why {
-            // The connection of a watch may have died or fallen silent, and only it.
+            // Only the watch's connection may have died or become silent.
             CallError::Query(QueryError::Broken(_) | QueryError::TimedOut) => call.continued,
             CallError::Query(_) => false,
-            // Changes that do not follow on what is known: the whole list is asked for at once.
+            // The changes do not apply to the known revision: asks for the whole list at once.
             CallError::Unusable(_) => {
                 call.changes && self.platform.catalog.lock().unwrap().revision().is_none()
             }
--- a/crates/edge/src/news.rs
+++ b/crates/edge/src/news.rs
@@ -1,4 +1,4 @@
-//! What a marshal is told from outside: the node list and the release desk by blocking queries, and votes.
+//! Watches the node list and the rollout controller with blocking queries, and casts votes.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -13,14 +13,15 @@
 use crate::{membership, platform, Edge};
 use ivydrift_sockets::coroutine::{go, pause};
 
-/// Queries are held by the desk at most this long.
+/// The longest time for which the rollout controller holds a query.
 const DESK_WAIT: Duration = Duration::from_secs(5);
-/// More than that, and the far side is taken as gone.
+/// How much longer than its hold time a query may take before the server counts as unreachable.
 const SLACK: Duration = Duration::from_secs(2);
-/// Whoever follows a list and reports this much later than its call may take is taken as stuck.
+/// A watcher that reports this much later than its call may take counts as stuck.
 pub const STUCK: Duration = Duration::from_secs(3);
 
-/// Follows the node list until it fails; the module then says when to ask again. Nothing where it is followed already.
+/// Watches the node list until a query fails; the core then decides when to ask again. Does nothing if the
+/// list is already being watched.
 pub fn follow_membership(edge: &Arc<Edge>, held: &Arc<Held>) {
     let moves = edge.moves.load(Ordering::Acquire);
     let hold = edge.bounds().list_hold;
@@ -40,8 +41,8 @@
     });
 }
 
-/// Why the list was lost; none where nobody has to hear of it: the list has moved and is followed there, is held no
-/// longer, or another follows it.
+/// Returns why the list was lost, or `None` if nobody has to be told: the list has moved and is watched at
+/// its new address, the service is no longer held, or another coroutine has taken over.
 fn follow_native(edge: &Arc<Edge>, held: &Arc<Held>, claim: &FollowClaim, moves: u64) -> Option<String> {
     let places = edge.live().places;
     let service = held.service.as_deref().unwrap_or(&places.service);
@@ -71,7 +72,7 @@
             Err(why) => return Some(why),
         };
         edge.complain_of_list(held);
-        // A list that was started anew counts from the front again.
+        // The index of a restarted list begins again at the front.
         index = if at < index { 0 } else { at };
         if at == 0 {
             pause(Duration::from_secs(1));
@@ -79,15 +80,17 @@
     }
 }
 
-/// Follows the release desk until it moves.
+/// Watches the rollout controller until it moves.
 #[cfg(test)]
 pub fn follow_desk(edge: &Arc<Edge>) {
     follow_desk_of(edge, &edge.home);
 }
 
-/// The same for any service that is held, until it is held no longer.
+/// Watches the rollout controller for one service until the controller moves or the service is no longer
+/// held.
 pub fn follow_desk_of(edge: &Arc<Edge>, held: &Arc<Held>) {
-    // Looked up here, not in the coroutine: of two moves in a row, both would follow the second place.
+    // Read here rather than in the coroutine: after two moves in a row, both coroutines would watch the
+    // second address.
     let (moves, desk) = (edge.moves.load(Ordering::Acquire), edge.live().places.release_desk);
     if edge.dialect.platform().is_some() {
         return platform::follow_desk(edge, moves, desk);
@@ -122,22 +125,24 @@
     });
 }
 
-/// The votes of this marshal on a service: one is out at a time. Each has a connection of its own, and of two the later could be
-/// counted first.
+/// This marshal's votes on one service. One vote is in flight at a time, because each has its own connection
+/// and a later vote could otherwise be counted first.
 #[derive(Default)]
 pub struct Votes {
+    /// A vote is in flight.
     out: bool,
-    /// The latest that waits for the one that is out.
+    /// The latest vote that waits for the one in flight.
     next: Option<desk::Vote>,
 }
 
-/// Casts a vote, after the one that is out where there is one. What waits meanwhile is replaced: only the last counts.
+/// Casts a vote once no other is in flight. A waiting vote is replaced by a newer one, since only the last
+/// counts.
 #[cfg(test)]
 pub fn vote(edge: &Arc<Edge>, vote: desk::Vote) {
     vote_of(edge, &edge.home, vote);
 }
 
-/// The same on any service that is held.
+/// Casts a vote on one service.
 pub fn vote_of(edge: &Arc<Edge>, held: &Arc<Held>, vote: desk::Vote) {
     let mut votes = held.votes.lock().unwrap();
     if std::mem::replace(&mut votes.out, true) {
@@ -163,7 +168,8 @@
                 edge.tell_of(held.of, Input::Voted(ballot), 0);
                 return;
             };
-            // The answer is not to the vote that the core takes for the last; what it says of the build holds.
+            // The core waits for the answer to a later vote, but what this answer says about the build is
+            // still valid.
             if let Ballot::Answered(answer) = ballot {
                 let news = desk::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
                 edge.tell_of(held.of, Input::News(&news), 0);
@@ -173,6 +179,7 @@
     });
 }
 
+/// Sends one vote in the native dialect and returns its result.
 fn cast(edge: &Edge, held: &Held, vote: &desk::Vote) -> Ballot {
     let service = held.service.as_deref().map(str::to_owned);
     let body = desk::write(&desk::ServiceVote { vote: *vote, service });
@@ -184,7 +191,7 @@
             Ok(answer) => Ballot::Answered(answer),
             Err(_) => Ballot::Failed,
         },
-        // Without a connection it cannot have come in; else it may have.
+        // Without a connection the vote cannot have arrived; otherwise it may have.
         Err(QueryError::Status(_) | QueryError::Unreadable(_)) => Ballot::Failed,
         Err(e) if e.refused_connection() => Ballot::Failed,
         Err(_) => Ballot::Silent,
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform's release desk tells, as lines on a connection that follows, and votes.
+//! The platform's rollout controller: watches its line protocol on a long-lived connection, and casts votes.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -16,27 +16,31 @@
 use crate::query::jitter;
 use crate::Edge;
 
-/// A desk that gives no sign of life for this long is asked anew; it gives one each second.
+/// The watch reconnects after this long without a line; the controller sends one each second.
 const SILENCE: Duration = Duration::from_millis(3500);
+/// Connect timeout.
 const CONNECT: Duration = Duration::from_millis(1000);
 
-/// A connection to the desk, line by line.
+/// A connection to the rollout controller, read line by line.
 struct Lines {
     socket: Socket,
     buf: Vec<u8>,
 }
 
 impl Lines {
+    /// Connects and sends the first line. The error is `ConnectionRefused` if that line was not sent
+    /// completely.
     fn open(to: SocketAddr, first: &[u8], by: Instant) -> io::Result<Lines> {
         let within = by.saturating_duration_since(Instant::now()).min(CONNECT);
         let socket = Socket::connect(to, within)?;
         match socket.write(first, by) {
             Ok(()) => Ok(Lines { socket, buf: Vec::new() }),
-            // Its last byte has not left: nothing of it was carried out.
+            // The last byte was not sent, so nothing was carried out.
             Err((_, e)) => Err(io::Error::new(ErrorKind::ConnectionRefused, e)),
         }
     }
 
+    /// Reads the next line.
     fn next(&mut self, by: Instant) -> io::Result<Line> {
         loop {
             if let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") {
@@ -45,7 +49,10 @@
                 return line.map_err(|why| io::Error::new(ErrorKind::InvalidData, why));
             }
             if self.buf.len() >= desk::LINE_BYTES {
-                return Err(io::Error::new(ErrorKind::InvalidData, "a line of the desk never ends"));
+                return Err(io::Error::new(
+                    ErrorKind::InvalidData,
+                    "line from the rollout controller exceeds the length limit",
+                ));
             }
             let mut part = [0; 2048];
             match self.socket.read(&mut part, Some(by))? {
@@ -60,7 +67,7 @@
     News { index: 0, stage, sums, disputed }
 }
 
-/// A line that came unasked, as news for the core.
+/// Converts an unsolicited line to an event for the core.
 fn news(platform: &Platform, line: Line) -> Option<News> {
     match line {
         Line::Stage(stage) => Some(told(Some(stage), vec![], vec![])),
@@ -73,12 +80,13 @@
     }
 }
 
-/// Follows the release desk until it moves.
+/// Watches the rollout controller until it moves.
 pub fn follow_desk(edge: &Arc<Edge>, moves: u64, to: SocketAddr) {
     let edge = edge.clone();
     go(move || insist(|| follow(&edge, moves, to)));
 }
 
+/// Reconnects and reads lines until the controller moves.
 fn follow(edge: &Arc<Edge>, moves: u64, to: SocketAddr) {
     let Some(platform) = edge.dialect.platform() else { return };
     let moved = || edge.moves.load(Ordering::Acquire) != moves;
@@ -106,6 +114,7 @@
     }
 }
 
+/// Sends one vote and returns its result.
 pub fn vote(edge: &Edge, vote: &Vote) -> Ballot {
     let live = edge.live();
     let by = Instant::now() + live.vote_wait;
@@ -114,7 +123,7 @@
         Ok(Line::Done(Some(stage))) => Ballot::Answered(VoteAnswer { counted: Counted::Counts, stage }),
         Ok(Line::Refused(counted)) => Ballot::Refused(counted),
         Err(e) if e.kind() == ErrorKind::ConnectionRefused => Ballot::Failed,
-        // What cannot be read, or comes too late, proves nothing.
+        // An unreadable or late answer proves nothing.
         Ok(_) | Err(_) => Ballot::Silent,
     }
 }
--- a/crates/edge/src/program.rs
+++ b/crates/edge/src/program.rs
@@ -1,8 +1,9 @@
-//! Which program this process runs.
+//! Identifies the program that this process runs.
 
 use std::fs::File;
 
-/// Its version, and the first bytes of its file's digest: two builds of one version are two programs.
+/// The version and the first digits of the executable's digest, since two builds of one version are different
+/// programs.
 pub fn name() -> String {
     let version = env!("CARGO_PKG_VERSION");
     let digest = || {
--- a/crates/edge/src/query.rs
+++ b/crates/edge/src/query.rs
@@ -1,4 +1,4 @@
-//! HTTP queries to discovery and the release desk, on a connection that is used again.
+//! HTTP queries to discovery and the rollout controller on a reused connection.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -11,14 +11,15 @@
 use ivydrift_wire::{list, message};
 use rand::RngExt;
 
-/// A connection comes up within this time, or the query fails.
+/// A connection must be established within this time, or the query fails.
 const CONNECT: Duration = Duration::from_secs(1);
 
-/// The connection on which a query waits, so that the wait can be ended from elsewhere.
+/// The connection on which a query waits, so that another coroutine can end the wait.
 #[derive(Clone, Default)]
 pub struct Line(Arc<Mutex<Option<Look>>>);
 
 impl Line {
+    /// Shuts down the connection, which ends the wait.
     pub fn cut(&self) {
         if let Some(look) = &*self.0.lock().unwrap() {
             look.cut();
@@ -26,23 +27,23 @@
     }
 }
 
-/// Why a query has no answer.
+/// Why a query returned no answer.
 #[derive(Debug)]
 pub enum QueryError {
-    /// No connection came up: the query never left.
+    /// No connection was established; the query was not sent.
     Connect(io::Error),
-    /// The connection broke after that.
+    /// The established connection broke.
     Broken(io::Error),
-    /// Nothing whole came in time.
+    /// No complete answer arrived in time.
     TimedOut,
-    /// An answer of another status than 200.
+    /// The answer had a status other than 200.
     Status(u16),
-    /// An answer that cannot be read.
+    /// The answer could not be parsed.
     Unreadable(String),
 }
 
 impl QueryError {
-    /// Nobody listens there.
+    /// Whether the connection was refused, so nobody listens at the address.
     pub fn refused_connection(&self) -> bool {
         matches!(self, QueryError::Connect(e) if e.kind() == ErrorKind::ConnectionRefused)
     }
@@ -59,7 +60,7 @@
 impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            QueryError::Connect(e) => write!(f, "no connection: {e}"),
+            QueryError::Connect(e) => write!(f, "connect failed: {e}"),
             QueryError::Broken(e) => write!(f, "connection broke: {e}"),
             QueryError::TimedOut => f.write_str("timed out"),
             QueryError::Status(status) => write!(f, "status {status}"),
@@ -68,37 +69,38 @@
     }
 }
 
-/// A whole answer of status 200.
+/// A complete answer of status 200.
 pub struct Reply {
-    /// Its index, where it has one.
+    /// The blocking-query index, if the answer has one.
     pub index: Option<u64>,
     pub body: Vec<u8>,
 }
 
-/// Asks one place, on a connection that is kept for the next query.
+/// Queries one address on a connection that is kept for the next query.
 pub struct QueryClient {
     to: SocketAddr,
-    /// Who asks, as the User-Agent.
+    /// Value of the User-Agent field.
     name: String,
     socket: Option<Socket>,
     line: Line,
 }
 
 impl QueryClient {
+    /// A client for queries to one address.
     pub fn new(to: SocketAddr, marshal: usize) -> Self {
         let name = format!("ivydrift/{} marshal-{marshal}", env!("CARGO_PKG_VERSION"));
         QueryClient { to, name, socket: None, line: Line::default() }
     }
 
-    /// One whose waits end when `line` is cut.
+    /// A client whose waits end when `line` is cut.
     pub fn on(line: &Line, to: SocketAddr, marshal: usize) -> Self {
         QueryClient { line: line.clone(), ..QueryClient::new(to, marshal) }
     }
 
-    /// Sends a query and reads its answer of at most `most` bytes whole, within this time.
+    /// Sends a query and reads its complete answer of at most `most` bytes within the given time.
     ///
     /// # Errors
-    /// Whatever is not a whole answer of status 200.
+    /// Anything but a complete answer of status 200.
     pub fn send(
         &mut self, verb: &str, path: &str, body: &[u8], most: usize, within: Duration,
     ) -> Result<Reply, QueryError> {
@@ -139,7 +141,8 @@
     }
 }
 
-/// How long to wait after so many failures: full jitter, so that marshals do not come back together.
+/// The wait after this many failures: exponential backoff with full jitter, so that marshals do not retry in
+/// step.
 pub fn jitter(base: Duration, failures: u32) -> Duration {
     (base * (1 << failures.min(4))).mul_f64(rand::rng().random_range(0.1..=1.0))
 }
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -1,4 +1,4 @@
-//! A marshal that runs: started by its terms, given new ones, stopped.
+//! A running marshal: start, config reload, and stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,6 +20,7 @@
 /// A running marshal.
 pub struct Running {
     edge: Arc<Edge>,
+    /// The address that clients connect to.
     pub listens: SocketAddr,
     /// Wakes the accept loop.
     waker: Waker,
@@ -32,23 +33,23 @@
     }
 }
 
-/// Starts a marshal by its terms. The runtime's workers are set by the first that starts in a process.
+/// Starts a marshal from its config. The first one started in a process sets the number of runtime workers.
 ///
 /// # Errors
-/// When its addresses cannot be had.
+/// If one of its addresses cannot be bound.
 pub fn start(terms: Terms) -> io::Result<Running> {
     let (edge, listener) = prepare(terms, Dialect::Native)?;
     Ok(Running::begin(edge, listener))
 }
 
-/// Starts a marshal of the platform by what its file says.
+/// Starts a marshal of the platform from the contents of its file.
 ///
 /// # Errors
-/// When its address cannot be had.
+/// If its address cannot be bound.
 pub fn start_on_platform(start: Start) -> io::Result<Running> {
     let (known, terms) = (start.known.listed(), start.terms);
     let (edge, listener) = prepare(terms, Dialect::Platform(dialect::Platform::new(start.known)))?;
-    // What was known before comes first: whatever is told from now on is newer.
+    // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = start.news {
         let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
         edge.tell(Input::News(&news), 0);
@@ -60,25 +61,27 @@
 }
 
 impl Running {
+    /// The core's counts since the start.
     pub fn counts(&self) -> Counts {
         self.edge.counts()
     }
 
-    /// New terms were announced, whether or not they can be taken: what discovery has to tell counts as told sooner.
+    /// Notes that a new config was announced, whether or not it is valid: discovery counts as heard from
+    /// sooner.
     pub fn reload_announced(&self) {
         self.edge.tell(Input::Discovery(DiscoverySign::Reloaded), 0);
     }
 
-    /// Takes new terms without a restart; nothing in hand is lost or sent twice. List and desk that have moved are
-    /// followed at their new places from now on.
+    /// Applies a new config without a restart. No RPC in progress is lost or sent twice. If discovery or the
+    /// rollout controller has moved, it is watched at its new address from now on.
     ///
     /// # Errors
-    /// What cannot change in a running marshal; the earlier terms stay in force.
+    /// Names what cannot change in a running marshal; the earlier config stays in force.
     pub fn renew(&self, terms: Terms) -> Result<(), String> {
         self.renew_with(terms, None)
     }
 
-    /// The same on the platform, by what its file says now.
+    /// Like [`Running::renew`], from the contents of the platform's file.
     ///
     /// # Errors
     /// As for [`Running::renew`].
@@ -90,7 +93,7 @@
         let (edge, new, limits) = (&self.edge, Live::of(&terms), terms.rollout.limits);
         edge.core.lock().unwrap().renew(terms)?;
         edge.pool.renew(&new.bounds, limits.idle_kept);
-        // An RPC taken under the earlier terms may need its longer deadline.
+        // An RPC accepted under the earlier config may need its longer deadline.
         let old = edge.live();
         let longest = old.longest.max(new.longest);
         *edge.live.lock().unwrap() = Live { longest, ..new.clone() };
@@ -111,28 +114,29 @@
         self.edge.guard.withheld()
     }
 
-    /// Rules that this marshal has broken, as far as it sees: none, unless something is wrong with it.
+    /// Rules that this marshal has broken as far as it can tell; all zero unless something is wrong with it.
     pub fn violations(&self) -> Violations {
         self.edge.guard.violations()
     }
 
-    /// How many nodes are known to be ready.
+    /// Number of nodes known to be ready.
     pub fn nodes(&self) -> usize {
         self.edge.ready()
     }
 
-    /// Stops accepting, finishes what is held, and returns within the longest deadline; true where nothing was
-    /// left unfinished.
+    /// Stops accepting, finishes the RPCs in progress, and returns within the longest deadline. Returns true
+    /// if nothing was left unfinished.
     pub fn stop(&self) -> bool {
         self.edge.stop.store(true, Ordering::Release);
         self.edge.tell(Input::Leaving, 0);
-        // Whoever still comes is served, and told to come no more.
+        // Clients that still connect are served and told to close.
         std::thread::sleep(self.edge.bounds().linger);
         self.edge.close.store(true, Ordering::Release);
         self.waker.wake();
         let by = Instant::now() + self.edge.live().longest + Duration::from_millis(200);
         while Instant::now() < by {
-            // In this order: what is accepted is open before the listener ends, and open until nothing is held for it.
+            // The order of these reads matters: a connection counts as open before the listener closes, and
+            // stays open until the core holds nothing for it.
             let accepting = self.edge.accepting.load(Ordering::Acquire);
             let open = self.edge.open.load(Ordering::Acquire);
             if !accepting && open == 0 && self.edge.counts().held == 0 {
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -1,10 +1,10 @@
-//! Time limits for coroutines, kept by a thread of our own.
+//! Timers for coroutines, run by a dedicated thread.
 //!
-//! may's own timers are not used anywhere. Its timer thread runs the coroutines that it wakes by itself, and a
-//! coroutine that then reads a socket with a time limit touches the timer list of an event loop that runs on
-//! another thread; that list is not made for it (`EventData::fast_schedule` in may 0.3.51, `Entry::remove` in
-//! may_queue 0.1.24). The heap was corrupted within seconds by 5,000 clients in one process. A wake from a thread
-//! that runs no coroutines goes to the workers' queues.
+//! may's own timers are not used anywhere. Its timer thread runs the coroutines that it wakes by itself, and
+//! a coroutine that then reads a socket with a timeout modifies the timer list of an event loop that runs on
+//! another thread; that list is not thread-safe (`EventData::fast_schedule` in may 0.3.51, `Entry::remove` in
+//! may_queue 0.1.24). With 5,000 clients in one process the heap was corrupted within seconds. A wake-up from
+//! a thread that runs no coroutines goes to the workers' queues instead.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,21 +17,24 @@
 
 use crate::pending::{Look, Pending};
 
-/// A connection's limit comes up at least this often, so that one that has closed is soon forgotten.
+/// The longest time between two checks of a connection's timeout, so that a closed connection is soon
+/// released.
 const LONGEST: Duration = Duration::from_secs(5);
 
-/// The limit of a connection's reads. It stays in the clock from one read to the next: most reads need no entry of
-/// their own.
+/// The read timeout of a connection. Its entry stays in the clock from one read to the next, so most reads
+/// need no entry of their own.
 pub(crate) struct Limit {
     pending: Pending<AtomicU64>,
     waker: WaitIoWaker,
 }
 
+/// What an expired entry wakes.
 enum Wakes {
     Reader(Arc<Limit>),
     Sleeper(Arc<Semphore>),
 }
 
+/// A timer; `at` is in nanoseconds since the clock's zero.
 struct Entry {
     at: u64,
     wakes: Wakes,
@@ -57,9 +60,11 @@
     }
 }
 
+/// The process-wide timer queue and its thread.
 struct Clock {
     zero: Instant,
     entries: Mutex<BinaryHeap<Reverse<Entry>>>,
+    /// Notified when a new entry expires before all others.
     earlier: Condvar,
 }
 
@@ -94,6 +99,7 @@
         }
     }
 
+    /// Wakes what has expired. Never returns.
     fn run(&self) {
         let mut due = Vec::new();
         loop {
@@ -120,7 +126,7 @@
         }
     }
 
-    /// The entry of a connection came up.
+    /// Handles the expired entry of a connection.
     fn look(&self, limit: Arc<Limit>, now: u64) {
         match limit.pending.come_up(now) {
             Look::Nothing => {}
@@ -129,6 +135,7 @@
         }
     }
 
+    /// Adds an entry for a connection's timeout.
     fn enter(&self, limit: Arc<Limit>, at: u64, now: u64) {
         let at = at.min(now + LONGEST.as_nanos() as u64);
         limit.pending.entered(at);
@@ -141,7 +148,7 @@
         Arc::new(Limit { pending: Pending::default(), waker })
     }
 
-    /// The read that begins now is to be woken then.
+    /// Wakes the read that begins now at `by`.
     pub(crate) fn set(self: &Arc<Self>, by: Instant) {
         let clock = Clock::get();
         let at = clock.nanos(by);
@@ -150,12 +157,13 @@
         }
     }
 
+    /// Ends the read, and its timeout with it.
     pub(crate) fn clear(&self) {
         self.pending.end();
     }
 }
 
-/// Posts to the semaphore then.
+/// Posts to the semaphore at the given time.
 pub fn post_at(at: Instant, semaphore: Arc<Semphore>) {
     let clock = Clock::get();
     clock.add(clock.nanos(at), Wakes::Sleeper(semaphore));
--- a/crates/sockets/src/coroutine.rs
+++ b/crates/sockets/src/coroutine.rs
@@ -1,6 +1,6 @@
-//! The one place that starts coroutines. `may` calls this unsafe for two reasons, and each is kept here: a
-//! coroutine must not use thread-locals across a yield (none of ours does), nor outgrow its stack (ours is
-//! eight times may's, set once in [`prepare`], and nothing here recurses).
+//! The only place that starts coroutines. `may` marks this unsafe for two reasons, and both conditions are
+//! met here: a coroutine must not use thread-locals across a yield (none does), nor overflow its stack (set
+//! once in [`prepare`] to eight times may's default, and nothing here recurses).
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,24 +11,26 @@
 
 use crate::clock::post_at;
 
-/// Words of stack a coroutine gets: 256 KiB of address space, of which only touched pages cost memory.
+/// Stack size of a coroutine in words: 256 KiB of address space, of which only touched pages use memory.
 const STACK_WORDS: usize = 0x8000;
 
-/// Stacks of ended coroutines kept for the next. may keeps 1000 by itself and hands them out in turn, so that each
-/// comes to hold the pages of the deepest call there ever was: 22 MiB in a marshal with 100 clients.
+/// Stacks of ended coroutines kept for reuse. may's default keeps 1000 and hands them out in turn, so that
+/// each comes to hold the pages of the deepest call so far: 22 MiB in a marshal with 100 clients.
 const SPARE_STACKS: usize = 32;
 
+/// Configures the runtime; must be called before the first coroutine starts.
 pub fn prepare(workers: usize) {
     let config = may::config();
     config.set_workers(workers).set_stack_size(STACK_WORDS).set_pool_capacity(SPARE_STACKS);
-    // may pins its nth worker to the nth core: several processes on one machine would all crowd the first.
+    // may pins its nth worker to the nth core, so several processes on one machine would all compete for the
+    // first cores.
     config.set_worker_pin(false);
 }
 
 /// Coroutines that have begun and not ended.
 static ALIVE: AtomicUsize = AtomicUsize::new(0);
 
-/// Counts one coroutine out however it ends: may catches panics.
+/// Decrements `ALIVE` however the coroutine ends: may catches panics.
 struct Alive;
 
 impl Drop for Alive {
@@ -37,6 +39,7 @@
     }
 }
 
+/// Starts a coroutine.
 #[allow(unsafe_code)]
 pub fn go(work: impl FnOnce() + Send + 'static) {
     ALIVE.fetch_add(1, Ordering::Relaxed);
@@ -45,28 +48,28 @@
         let _alive = alive;
         work();
     };
-    // SAFETY: see the head of this file.
+    // SAFETY: see the module documentation.
     let _detached = unsafe { may::coroutine::spawn(counted) };
 }
 
-/// A duty that ended by a panic is begun again after this long.
+/// Delay before a task that panicked is restarted.
 const BEGIN_AGAIN: Duration = Duration::from_millis(100);
 
-/// Does a duty of the process to its end. may drops a coroutine that panics without a word to anybody; a duty that nobody
-/// else would take up, as to accept connections or to keep time, is begun again instead. The panic itself has been
-/// reported by then.
+/// Runs a task of the process until it returns. may silently drops a coroutine that panics; a task that
+/// nothing else would take over, such as accepting connections or running timers, is restarted instead. The
+/// panic itself has been reported by then.
 pub fn insist(mut duty: impl FnMut()) {
     while catch_unwind(AssertUnwindSafe(&mut duty)).is_err() {
         pause(BEGIN_AGAIN);
     }
 }
 
-/// How many coroutines of this process have not ended.
+/// Number of coroutines of this process that have not ended.
 pub fn alive() -> usize {
     ALIVE.load(Ordering::Relaxed)
 }
 
-/// Waits until this time. In a thread that runs no coroutines it blocks the thread.
+/// Waits until the given time. On a thread that runs no coroutines this blocks the thread.
 pub fn pause_until(at: Instant) {
     if at > Instant::now() {
         let woken = Arc::new(Semphore::new(0));
@@ -75,11 +78,13 @@
     }
 }
 
+/// Waits for this long. On a thread that runs no coroutines this blocks the thread.
 pub fn pause(span: Duration) {
     pause_until(Instant::now() + span);
 }
 
-/// Waits for a post, for this span at most. The clock posts too, and may do so late: who waits looks why.
+/// Waits for a post, for at most this long. The clock posts too, and may do so late, so the caller has to
+/// check why it was woken.
 pub fn wait(semaphore: &Arc<Semphore>, span: Duration) {
     post_at(Instant::now() + span, semaphore.clone());
     semaphore.wait();
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the shells on `may` share: connections, and the start of coroutines.
+//! Shared foundation of the programs that run on `may`: connections, listeners, timers, and starting
+//! coroutines.
 #![deny(unsafe_code)]
 
 mod clock;
--- a/crates/sockets/src/listen.rs
+++ b/crates/sockets/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening on an address that nobody else has.
+//! Listening on an address exclusively.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -10,54 +10,60 @@
 
 use crate::socket::Socket;
 
-/// Connections that wait to be accepted.
+/// Length of the listen backlog.
 const QUEUE: i32 = 1024;
 
-/// Listens on an address for itself alone. may's own bind sets SO_REUSEPORT, with which a second marshal on the
-/// same address would silently share its clients.
+/// Listens on an address exclusively. may's own bind sets SO_REUSEPORT, with which a second marshal on the
+/// same address would silently take a share of the clients.
 ///
 /// # Errors
-/// When the address cannot be had, another listener's among others.
+/// If the address cannot be bound, for example because another process listens on it.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(QUEUE)?;
     #[allow(unsafe_code)]
-    // SAFETY: the descriptor is an open listening socket that is handed over and used nowhere else.
+    // SAFETY: the descriptor is an open listening socket, handed over here and used nowhere else.
     Ok(unsafe { TcpListener::from_raw_fd(socket.into_raw_fd()) })
 }
 
-/// A listener that tells apart "none waits" from "wait for one": who ends it can first take all that wait. may's
-/// own accept only waits, and a connection in its queue is reset when the listener closes.
+/// A listener with a non-blocking accept and a separate wait, so that whoever closes it can first drain the
+/// backlog. may's own accept only waits, and connections left in the backlog are reset when the listener
+/// closes.
 pub struct Listener(TcpListener);
 
-/// Wakes who waits at a listener.
+/// Wakes the coroutine that waits on a listener.
 pub struct Waker(WaitIoWaker);
 
 impl Waker {
+    /// Wakes the waiting coroutine.
     pub fn wake(&self) {
         self.0.wakeup();
     }
 }
 
 impl Listener {
+    /// Binds a listener to an address.
+    ///
     /// # Errors
     /// As [`listen`].
     pub fn bind(addr: SocketAddr) -> io::Result<Listener> {
         listen(addr).map(Listener)
     }
 
+    /// The address that the listener is bound to.
+    ///
     /// # Errors
-    /// As the system says.
+    /// As reported by the system.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// A connection that waits; none where none does.
+    /// Accepts a connection from the backlog, or returns `None` if it is empty.
     ///
     /// # Errors
-    /// Out of descriptors, most likely; what waits keeps its place.
+    /// Usually because no descriptors are left; connections keep their place in the backlog.
     #[allow(unsafe_code)]
     pub fn accept(&self) -> io::Result<Option<Socket>> {
         // SAFETY: the descriptor is open as long as the listener, which outlives the call.
@@ -66,23 +72,24 @@
             match SockRef::from(&fd).accept() {
                 Ok((socket, _)) => {
                     socket.set_nonblocking(true)?;
-                    // SAFETY: the descriptor is an open socket that is handed over and used nowhere else.
+                    // SAFETY: the descriptor is an open socket, handed over here and used nowhere else.
                     let stream = unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) };
                     return Ok(Some(Socket::new(stream)));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                // A client that has gone again while it waited is no failure of ours.
+                // A client that disconnected while it was in the backlog is not an error.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Waits until one may have come, or somebody wakes.
+    /// Waits until a connection may have arrived or a [`Waker`] is used.
     pub fn wait(&self) {
         self.0.wait_io();
     }
 
+    /// A handle that ends a [`Listener::wait`] from elsewhere.
     pub fn waker(&self) -> Waker {
         Waker(self.0.waker())
     }
--- a/crates/sockets/src/socket.rs
+++ b/crates/sockets/src/socket.rs
@@ -1,7 +1,8 @@
-//! A TCP connection that one coroutine reads and writes, while others look whether the far side has left, or cut
-//! it off. may's read wants the stream for itself alone, so the others know its descriptor, for as long as it is
-//! open. (A second descriptor for them halves the connections that a process can hold; waiting by `peek`, which
-//! needs neither, costs two more system calls for each read that waits: 0.8 of the throughput.)
+//! A TCP connection that one coroutine reads and writes while others check whether the peer has closed it, or
+//! shut it down. may's read needs exclusive access to the stream, so the others use its descriptor for as
+//! long as it is open. (A second descriptor for them would halve the number of connections that a process can
+//! hold. Waiting by `peek`, which needs neither, costs two more system calls for each read that waits:
+//! throughput drops to 0.8.)
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::mem::MaybeUninit;
@@ -18,28 +19,30 @@
 use crate::clock::Limit;
 use crate::coroutine::pause;
 
-/// EINPROGRESS, and EINTR: either way the connect goes on.
+/// EINPROGRESS and EINTR: in both cases the connect continues.
 const GOES_ON: [i32; 2] = [115, 4];
 
 /// ENFILE and EMFILE.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
 
-/// Whether an error of the system says that no descriptor is left.
+/// Whether an OS error code means that no descriptor is left.
 pub fn out_of_descriptors(error: i32) -> bool {
     OUT_OF_DESCRIPTORS.contains(&error)
 }
 
+/// A TCP connection, owned by the coroutine that reads and writes it.
 pub struct Socket {
     stream: TcpStream,
     look: Look,
     limit: Arc<Limit>,
 }
 
-/// What others than its owner may do with a connection. Once the owner has closed it, nothing.
+/// Access to a connection for coroutines other than its owner. Has no effect once the owner has closed it.
 #[derive(Clone)]
 pub struct Look {
     fd: Arc<Mutex<Option<RawFd>>>,
-    /// Somebody has ended it: nothing more is read, or it would count as taken.
+    /// The connection was shut down: nothing more is read, since bytes that were read would count as
+    /// accepted.
     cut: Arc<AtomicBool>,
 }
 
@@ -48,7 +51,7 @@
 }
 
 impl Look {
-    /// Whether the far side has closed or reset, as far as can be seen behind bytes not yet read.
+    /// Whether the peer has closed or reset the connection, as far as that is visible behind unread bytes.
     pub fn left(&self) -> bool {
         match self.with(|socket| socket.peek(&mut [MaybeUninit::uninit()])) {
             None => true,
@@ -57,24 +60,24 @@
         }
     }
 
-    /// Lends the open connection for one call that does not wait.
+    /// Runs one non-blocking call on the connection, if it is open.
     #[allow(unsafe_code)]
     fn with<T>(&self, call: impl FnOnce(SockRef) -> T) -> Option<T> {
         let open = self.fd.lock().unwrap();
         let fd = (*open)?;
-        // SAFETY: the descriptor is open while it stands here: `Socket` takes it out, under this lock, before its
-        // stream closes.
+        // SAFETY: the descriptor is open while it is stored here: `Socket` removes it, under this lock,
+        // before its stream closes.
         let fd = unsafe { BorrowedFd::borrow_raw(fd) };
         Some(call(SockRef::from(&fd)))
     }
 
-    /// Nothing has come, and nobody has closed: what an idle connection must look like.
+    /// Whether the connection is open and has no unread bytes, as an idle connection must.
     pub fn quiet(&self) -> bool {
         let seen = self.with(|socket| socket.peek(&mut [MaybeUninit::uninit()]));
         seen.is_some_and(|seen| seen.is_err_and(|e| e.kind() == ErrorKind::WouldBlock))
     }
 
-    /// Ends both directions; whoever reads wakes, and reads nothing more.
+    /// Shuts down both directions. A waiting read wakes up, and nothing more is read.
     pub fn cut(&self) {
         self.cut.store(true, Ordering::Release);
         self.with(|socket| socket.shutdown(Shutdown::Both));
@@ -88,8 +91,9 @@
 }
 
 impl Socket {
+    /// Wraps an open stream and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> Self {
-        // Heads and answers are written whole: waiting to fill segments only delays them.
+        // Heads and answers are written in one piece; waiting to fill segments would only delay them.
         let _ = stream.set_nodelay(true);
         let fd = Arc::new(Mutex::new(Some(stream.inner().as_raw_fd())));
         let look = Look { fd, cut: Arc::default() };
@@ -97,6 +101,8 @@
         Socket { stream, look, limit }
     }
 
+    /// Opens a connection within the given time.
+    ///
     /// # Errors
     /// As the connect fails, or `TimedOut`.
     pub fn connect(to: SocketAddr, within: Duration) -> io::Result<Socket> {
@@ -109,7 +115,7 @@
             return Err(e);
         }
         #[allow(unsafe_code)]
-        // SAFETY: the descriptor is an open socket that is handed over and used nowhere else.
+        // SAFETY: the descriptor is an open socket, handed over here and used nowhere else.
         let socket = Socket::new(unsafe { TcpStream::from_raw_fd(raw.into_raw_fd()) });
         socket.limit.set(by);
         loop {
@@ -128,11 +134,12 @@
         }
     }
 
+    /// Access to this connection for other coroutines.
     pub fn look(&self) -> Look {
         self.look.clone()
     }
 
-    /// Reads what is there, waiting until `by` for the first byte.
+    /// Reads available bytes, waiting until `by` for the first one.
     ///
     /// # Errors
     /// As the read fails, or `TimedOut`.
@@ -147,7 +154,7 @@
             match self.stream.inner().read(buf) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    // What came by now would have counted.
+                    // Bytes that arrived before the deadline would have been read above.
                     if by.is_some_and(|by| Instant::now() >= by) {
                         break Err(late());
                     }
@@ -160,7 +167,7 @@
         done
     }
 
-    /// Writes all of it by then. On an error tells how many bytes were handed over.
+    /// Writes all bytes before `by`. An error carries the number of bytes that were handed to the kernel.
     ///
     /// # Errors
     /// As the write fails, or `TimedOut`.
@@ -175,7 +182,8 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    // The far side is slow. A coroutine that waits for room would need the stream for itself.
+                    // The peer reads slowly. Polls, since a coroutine that waits for buffer space would need
+                    // exclusive access to the stream.
                     if Instant::now() >= by {
                         return Err((done, late()));
                     }
@@ -188,21 +196,23 @@
         Ok(())
     }
 
+    /// See [`Look::left`].
     pub fn left(&self) -> bool {
         self.look.left()
     }
 
-    /// Nothing has come, and nobody has closed: what an idle connection must look like.
+    /// Whether the connection is open and has no unread bytes, as an idle connection must.
     pub fn quiet(&self) -> bool {
         self.look.quiet()
     }
 
+    /// See [`Look::cut`].
     pub fn cut(&self) {
         self.look.cut();
     }
 
-    /// No more will be sent; what comes is read and dropped for a moment, since closing over unread bytes would
-    /// reset the connection and take our last answer with it (RFC 9112, section 9.6).
+    /// Closes the write side, then reads and discards for at most `within`: closing with unread bytes would
+    /// reset the connection and lose the last answer (RFC 9112, section 9.6).
     pub fn close_gently(&mut self, within: Duration) {
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
--- a/crates/sockets/tests/duties.rs
+++ b/crates/sockets/tests/duties.rs
@@ -1,4 +1,4 @@
-//! A duty that panics is begun again until it ends by itself.
+//! A task that panics is restarted until it returns by itself.
 
 use std::sync::mpsc;
 use std::time::Duration;
