--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -1,8 +1,8 @@
 //! Client side: accepts connections, reads RPCs (up to the buffered length of their bodies), and writes one
 //! final answer for each.
 
+mod caller;
 mod client;
-mod passage;
 mod serve;
 #[cfg(test)]
 mod tests;
@@ -16,14 +16,14 @@
 use ivydrift_wire::http::{self, Framing, HeadWriter, Refusal, Request};
 
 use crate::Edge;
+use caller::{ReadError, RemainingBody};
 pub use client::Client;
-use client::{Mail, Stand};
+use client::{ConnectionState, Mail};
 use ivydrift_sockets::coroutine::{go, pause};
 use ivydrift_sockets::{out_of_descriptors, Listener, Socket};
-use passage::{Rest, Unread};
 
 /// A client that accepts no byte of its answer for this long is disconnected.
-const SLOW_READER: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 const TOO_SLOW: Refusal = Refusal { status: 408, why: "the message took too long to arrive" };
 const TOO_LONG: Refusal =
@@ -35,7 +35,7 @@
 pub fn accept(edge: &Arc<Edge>, listener: &Listener) {
     loop {
         match listener.accept() {
-            Ok(Some(socket)) => welcome(edge, socket),
+            Ok(Some(socket)) => start_serving(edge, socket),
             Ok(None) if edge.closing() => return,
             Ok(None) => listener.wait(),
             Err(e) => {
@@ -43,7 +43,7 @@
                 // connections frees some.
                 tracing::warn!(error = %e, "failed to accept a connection");
                 if e.raw_os_error().is_some_and(out_of_descriptors) {
-                    edge.pool.tidy(true);
+                    edge.pool.close_expired(true);
                 }
                 pause(Duration::from_millis(20));
             }
@@ -53,22 +53,22 @@
 
 /// Registers an accepted connection and serves it on a coroutine of its own, or closes it if there are too
 /// many.
-fn welcome(edge: &Arc<Edge>, socket: Socket) {
+fn start_serving(edge: &Arc<Edge>, socket: Socket) {
     let client = Arc::new(Client::new(socket.look()));
-    let Some(name) = edge.enter(&client) else { return };
+    let Some(client_id) = edge.register(&client) else { return };
     let edge = edge.clone();
-    go(move || serve(&edge, client, name, socket));
+    go(move || serve(&edge, client, client_id, socket));
 }
 
-/// Serves the client registered under `name` until either side closes the connection.
-pub fn serve(edge: &Arc<Edge>, client: Arc<Client>, name: u64, socket: Socket) {
+/// Serves the client registered under `client_id` until either side closes the connection.
+pub fn serve(edge: &Arc<Edge>, client: Arc<Client>, client_id: u64, socket: Socket) {
     let mut connection = Connection { edge, client: &client, socket, buf: Vec::new() };
     if connection.run() {
-        client.stand.store(Stand::Leaving as u8, Ordering::Release);
+        client.state.store(ConnectionState::Closing as u8, Ordering::Release);
         connection.socket.close_gently(Duration::from_millis(500));
     }
     connection.socket.cut();
-    edge.leave(name);
+    edge.unregister(client_id);
 }
 
 /// The socket of a client connection and the bytes read ahead from it.
@@ -82,7 +82,7 @@
 /// What happens to a client connection after an RPC.
 enum Served {
     /// Go on with the next RPC.
-    On,
+    KeepAlive,
     /// Close the connection; the answer may still be in transit.
     Close,
     /// The rest of the RPC could not be read.
@@ -93,61 +93,70 @@
     /// Serves RPCs until the connection ends. Returns true if the last answer may still be in transit.
     fn run(&mut self) -> bool {
         loop {
-            self.client.rest();
-            let (request, began) = match self.head() {
+            self.client.mark_idle();
+            let (request, first_byte_at) = match self.read_head() {
                 Ok(read) => read,
-                Err(Unread::Over) => return false,
-                Err(Unread::Refused(refusal)) => return self.refuse(refusal),
+                Err(ReadError::Closed) => return false,
+                Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
             };
-            let (body, walk) = match self.body(&request, began) {
+            let (body, walk) = match self.read_body_prefix(&request, first_byte_at) {
                 Ok(body) => body,
-                Err(Unread::Over) => return false,
-                Err(Unread::Refused(refusal)) => return self.refuse(refusal),
+                Err(ReadError::Closed) => return false,
+                Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
             };
-            if !self.client.asked() {
+            if !self.client.complete_message() {
                 return false;
             }
             let keep = request.keep_alive && !self.edge.stopping();
             if matches!(&*request.verb, "CONNECT" | "TRACE") {
                 return self.refuse(Refusal { status: 405, why: "this method is not for RPCs" });
             }
-            if self.edge.dialect.asks_health(&request) {
-                let status = if self.edge.serves() { 200 } else { 503 };
-                if !self.finish(HeadWriter::response(status), "", keep) || !keep {
+            if self.edge.dialect.is_health_check(&request) {
+                let status = if self.edge.is_ready() { 200 } else { 503 };
+                if !self.write_answer(HeadWriter::response(status), "", keep) || !keep {
                     return true;
                 }
                 continue;
             }
             // After a stall, requests waiting in the socket may be from clients that left long ago. The id of
             // such a request is still unclaimed, so it may be sent again elsewhere.
-            if self.edge.stalled() && self.socket.left() {
+            if self.edge.recently_stalled() && self.socket.left() {
                 return true;
             }
-            let (left, claim) = match self.edge.dialect.read(&request, &self.edge.live()) {
-                // The client's time budget started with its first byte.
-                Ok((left, claim)) => (left.map(|left| left.saturating_sub(began.elapsed())), claim),
-                Err(refusal) => return self.refuse(refusal),
+            let (time_left, claim) =
+                match self.edge.dialect.read_timeout_and_id(&request, &self.edge.settings()) {
+                    // The client's time budget started with its first byte.
+                    Ok((time_left, claim)) => {
+                        (time_left.map(|time_left| time_left.saturating_sub(first_byte_at.elapsed())), claim)
+                    }
+                    Err(refusal) => return self.refuse(refusal),
+                };
+            let deadline = first_byte_at + self.edge.bounds().slow_client;
+            let remaining = RemainingBody {
+                walk,
+                deadline,
+                buffered: body.len() as u64,
+                streamed: 0,
+                waited: Duration::ZERO,
+                failure: None,
             };
-            let by = began + self.edge.bounds().slow_client;
-            let rest =
-                Rest { walk, by, held: body.len() as u64, taken: 0, waited: Duration::ZERO, stopped: None };
-            let served = self.serve(request, body, rest, left, keep);
+            let served = self.serve_rpc(request, body, remaining, time_left, keep);
             drop(claim);
             match served {
-                Served::On if keep => {}
-                Served::On | Served::Close => return true,
+                Served::KeepAlive if keep => {}
+                Served::KeepAlive | Served::Close => return true,
                 Served::Refuse(refusal) => return self.refuse(refusal),
             }
         }
     }
 
-    /// Reads more bytes before `by`. Returns false at the end of the stream.
-    fn fill(&mut self, by: Instant) -> Result<bool, ErrorKind> {
-        let mut part = [0; 4096];
-        match self.socket.read(&mut part, Some(by)) {
+    /// Reads more bytes before `deadline`. Returns false at the end of the stream.
+    fn read_more(&mut self, deadline: Instant) -> Result<bool, ErrorKind> {
+        let mut chunk = [0; 4096];
+        match self.socket.read(&mut chunk, Some(deadline)) {
             Ok(0) => Ok(false),
             Ok(n) => {
-                self.buf.extend_from_slice(&part[..n]);
+                self.buf.extend_from_slice(&chunk[..n]);
                 Ok(true)
             }
             Err(e) => Err(e.kind()),
@@ -155,61 +164,67 @@
     }
 
     /// Reads the next request head and the time its first byte arrived.
-    fn head(&mut self) -> Result<(Request, Instant), Unread> {
+    fn read_head(&mut self) -> Result<(Request, Instant), ReadError> {
         let bounds = self.edge.bounds();
-        let first = bounds.first_message.filter(|_| self.client.stands(Stand::New));
-        let first = first.map(|within| self.client.came + within);
-        let limit = |by: Instant| first.map_or(by, |first| by.min(first));
-        let mut by = limit(Instant::now() + bounds.idle_client);
-        let mut began = None;
+        let first_message_by = bounds.first_message.filter(|_| self.client.in_state(ConnectionState::New));
+        let first_message_by = first_message_by.map(|within| self.client.accepted_at + within);
+        let limit = |deadline: Instant| {
+            first_message_by.map_or(deadline, |first_message_by| deadline.min(first_message_by))
+        };
+        let mut deadline = limit(Instant::now() + bounds.idle_client);
+        let mut first_byte_at = None;
         loop {
             // Empty lines before a request line are ignored (RFC 9112, section 2.2).
             while self.buf.starts_with(b"\r\n") {
                 self.buf.drain(..2);
             }
-            if !self.buf.is_empty() && began.is_none() {
-                if !self.client.spoken() {
-                    return Err(Unread::Over);
+            if !self.buf.is_empty() && first_byte_at.is_none() {
+                if !self.client.begin_message() {
+                    return Err(ReadError::Closed);
                 }
-                began = Some(Instant::now());
-                by = limit(Instant::now() + bounds.slow_client);
+                first_byte_at = Some(Instant::now());
+                deadline = limit(Instant::now() + bounds.slow_client);
             }
             match http::request(&self.buf) {
                 Ok(Some((request, used))) => {
                     self.buf.drain(..used);
-                    return Ok((request, began.unwrap_or_else(Instant::now)));
+                    return Ok((request, first_byte_at.unwrap_or_else(Instant::now)));
                 }
                 Ok(None) => {}
-                Err(refusal) => return Err(Unread::Refused(refusal)),
+                Err(refusal) => return Err(ReadError::Refused(refusal)),
             }
-            match self.fill(by) {
+            match self.read_more(deadline) {
                 Ok(true) => {}
-                Err(ErrorKind::TimedOut) if began.is_some() => return Err(Unread::Refused(TOO_SLOW)),
-                _ => return Err(Unread::Over),
+                Err(ErrorKind::TimedOut) if first_byte_at.is_some() => {
+                    return Err(ReadError::Refused(TOO_SLOW))
+                }
+                _ => return Err(ReadError::Closed),
             }
         }
     }
 
     /// Reads the body up to the buffered length. The walk continues with whatever is left of it.
-    fn body(&mut self, request: &Request, began: Instant) -> Result<(Vec<u8>, Walk), Unread> {
+    fn read_body_prefix(
+        &mut self, request: &Request, first_byte_at: Instant,
+    ) -> Result<(Vec<u8>, Walk), ReadError> {
         let bounds = self.edge.bounds();
         if matches!(request.framing, Framing::Length(n) if n > bounds.longest_body) {
-            return Err(Unread::Refused(TOO_LONG));
+            return Err(ReadError::Refused(TOO_LONG));
         }
         let (mut walk, mut body) = (Walk::new(request.framing), Vec::new());
         if request.expects_continue && !walk.ended() && self.buf.is_empty() {
-            let by = Instant::now() + SLOW_READER;
-            if self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n", by).is_err() {
-                return Err(Unread::Over);
+            let deadline = Instant::now() + WRITE_TIMEOUT;
+            if self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline).is_err() {
+                return Err(ReadError::Closed);
             }
         }
-        let by = began + bounds.slow_client;
+        let deadline = first_byte_at + bounds.slow_client;
         loop {
             match walk.step(&self.buf) {
                 Ok(Part::Data(n)) => {
                     body.extend(self.buf.drain(..n));
                     if body.len() as u64 > bounds.longest_body {
-                        return Err(Unread::Refused(TOO_LONG));
+                        return Err(ReadError::Refused(TOO_LONG));
                     }
                     if body.len() > bounds.body && !walk.ended() {
                         return Ok((body, walk));
@@ -219,12 +234,12 @@
                     self.buf.drain(..n);
                 }
                 Ok(Part::End) => return Ok((body, walk)),
-                Ok(Part::Need) => match self.fill(by) {
+                Ok(Part::Need) => match self.read_more(deadline) {
                     Ok(true) => {}
-                    Err(ErrorKind::TimedOut) => return Err(Unread::Refused(TOO_SLOW)),
-                    _ => return Err(Unread::Over),
+                    Err(ErrorKind::TimedOut) => return Err(ReadError::Refused(TOO_SLOW)),
+                    _ => return Err(ReadError::Closed),
                 },
-                Err(refusal) => return Err(Unread::Refused(refusal)),
+                Err(refusal) => return Err(ReadError::Refused(refusal)),
             }
         }
     }
@@ -237,6 +252,6 @@
             .field("connection", "close")
             .finish();
         let bytes = [&head[..], refusal.why.as_bytes(), b"\n"].concat();
-        self.socket.write(&bytes, Instant::now() + SLOW_READER).is_ok()
+        self.socket.write(&bytes, Instant::now() + WRITE_TIMEOUT).is_ok()
     }
 }
--- a/crates/edge/src/command.rs
+++ b/crates/edge/src/command.rs
@@ -39,43 +39,43 @@
 }
 
 /// A config file that was read, in the format of either dialect.
-enum Read {
+enum ConfigFile {
     Native(Box<ivydrift_terms::Terms>),
     Platform(Box<start::Start>),
 }
 
-impl Read {
-    fn file(file: &Path, platform: bool) -> Result<Self, String> {
+impl ConfigFile {
+    fn load(file: &Path, platform: bool) -> Result<Self, String> {
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
         if platform {
-            return start::read(&name, &text).map(|start| Read::Platform(Box::new(start)));
+            return start::read(&name, &text).map(|start| ConfigFile::Platform(Box::new(start)));
         }
-        let terms = ivydrift_terms::read(&name, &text).map_err(|complaints| complaints.to_string())?;
-        Ok(Read::Native(Box::new(terms)))
+        let terms = ivydrift_terms::read(&name, &text).map_err(|errors| errors.to_string())?;
+        Ok(ConfigFile::Native(Box::new(terms)))
     }
 
-    fn renew(self, running: &crate::Running) -> Result<(), String> {
+    fn apply(self, running: &crate::Running) -> Result<(), String> {
         match self {
-            Read::Native(terms) => running.renew(*terms),
-            Read::Platform(start) => running.renew_on_platform(*start),
+            ConfigFile::Native(terms) => running.renew(*terms),
+            ConfigFile::Platform(start) => running.renew_on_platform(*start),
         }
     }
 
     fn start(self) -> std::io::Result<crate::Running> {
         match self {
-            Read::Native(terms) => crate::start(*terms),
-            Read::Platform(start) => crate::start_on_platform(*start),
+            ConfigFile::Native(terms) => crate::start(*terms),
+            ConfigFile::Platform(start) => crate::start_on_platform(*start),
         }
     }
 }
 
 /// Reads the config file again and applies it. Errors are logged, and the running config stays in force.
-fn renew(running: &crate::Running, file: &Path, platform: bool) {
+fn reload(running: &crate::Running, file: &Path, platform: bool) {
     running.reload_announced();
     let name = file.display().to_string();
-    let read = || Read::file(file, platform)?.renew(running).map_err(|why| format!("{name}: {why}"));
-    match read() {
+    let apply = || ConfigFile::load(file, platform)?.apply(running).map_err(|why| format!("{name}: {why}"));
+    match apply() {
         Ok(()) => tracing::info!(file = name, "new terms in force"),
         Err(why) => {
             why.lines().for_each(|why| tracing::error!(why, "new terms refused, the running ones stay"))
@@ -90,22 +90,22 @@
             print!("{}", ivydrift_terms::EXAMPLE);
             return ExitCode::SUCCESS;
         }
-        let told = || std::env::var_os(start::FILE).filter(|_| self.platform).map(PathBuf::from);
-        let Some(file) = self.file.clone().or_else(told) else {
+        let from_env = || std::env::var_os(start::FILE).filter(|_| self.platform).map(PathBuf::from);
+        let Some(file) = self.file.clone().or_else(from_env) else {
             eprintln!("no config file given: pass its path or set {} to it", start::FILE);
             return ExitCode::from(2);
         };
-        let read = match Read::file(&file, self.platform) {
-            Ok(read) => read,
+        let config = match ConfigFile::load(&file, self.platform) {
+            Ok(config) => config,
             Err(why) => {
                 eprintln!("{why}");
                 return ExitCode::from(2);
             }
         };
         log_to_stderr();
-        let wanted = match &read {
-            Read::Native(terms) => terms.places.listen,
-            Read::Platform(start) => start.terms.places.listen,
+        let listen_addr = match &config {
+            ConfigFile::Native(terms) => terms.places.listen,
+            ConfigFile::Platform(start) => start.terms.places.listen,
         };
         // Signal handlers are installed before the start so that no signal is lost.
         let mut signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
@@ -115,17 +115,19 @@
                 return ExitCode::FAILURE;
             }
         };
-        let running = match read.start() {
+        let running = match config.start() {
             Ok(running) => running,
             Err(e) => {
-                eprintln!("{wanted} or the peers' address cannot be had: {e}. Is another marshal running?");
+                eprintln!(
+                    "{listen_addr} or the peers' address cannot be had: {e}. Is another marshal running?"
+                );
                 return ExitCode::FAILURE;
             }
         };
         tracing::info!(listens = %running.listens, "started");
         let signal = signals.forever().find(|signal| {
             if *signal == SIGHUP {
-                renew(&running, &file, self.platform);
+                reload(&running, &file, self.platform);
             }
             *signal != SIGHUP
         });
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -7,14 +7,14 @@
 
 use ivydrift_marshal::{Call, Why};
 use ivydrift_platform::members::Catalog;
-use ivydrift_platform::rpc as theirs;
+use ivydrift_platform::rpc as platform_rpc;
 use ivydrift_platform::start::BODY;
 use ivydrift_wire::http::{Fields, Framing, HeadWriter, Refusal, Request, Response};
 use ivydrift_wire::orca::{self, Metrics};
 use ivydrift_wire::rpc;
 
-use crate::ids::{Claim, Ids};
-use crate::Live;
+use crate::request_ids::{IdClaim, RequestIds};
+use crate::Settings;
 
 /// The protocol spoken with clients, nodes, discovery and rollout controller.
 pub enum Dialect {
@@ -28,7 +28,7 @@
     /// The node list as last received.
     pub catalog: Mutex<Catalog>,
     /// Request ids in use.
-    ids: Ids,
+    ids: RequestIds,
 }
 
 impl Platform {
@@ -39,11 +39,11 @@
 }
 
 /// Header fields that the marshal sets itself, or that only concern client and marshal.
-const OURS: [&str; 7] = ["host", "via", rpc::TIMEOUT, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY];
-const OURS_THERE: [&str; 2] = ["host", theirs::TIMEOUT];
-const NOT_FOR_CLIENTS: [&str; 8] =
+const NOT_FORWARDED: [&str; 7] = ["host", "via", rpc::TIMEOUT, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY];
+const NOT_FORWARDED_PLATFORM: [&str; 2] = ["host", platform_rpc::TIMEOUT];
+const NOT_RETURNED: [&str; 8] =
     [orca::FIELD, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY, rpc::NEVER_RAN, rpc::SPREAD_MS, "via"];
-const NOT_FOR_CLIENTS_THERE: [&str; 2] = [theirs::LOAD, theirs::NEVER_RAN];
+const NOT_RETURNED_PLATFORM: [&str; 2] = [platform_rpc::LOAD, platform_rpc::NEVER_RAN];
 
 impl Dialect {
     /// The platform's state, or `None` in the native dialect.
@@ -55,14 +55,14 @@
     }
 
     /// Whether this is a health check rather than an RPC.
-    pub fn asks_health(&self, request: &Request) -> bool {
-        self.platform().is_some() && theirs::asks_health(request)
+    pub fn is_health_check(&self, request: &Request) -> bool {
+        self.platform().is_some() && platform_rpc::asks_health(request)
     }
 
     /// Reads the client's timeout, if given, and claims the request id.
-    pub fn read(
-        &self, request: &Request, live: &Live,
-    ) -> Result<(Option<Duration>, Option<Claim<'_>>), Refusal> {
+    pub fn read_timeout_and_id(
+        &self, request: &Request, settings: &Settings,
+    ) -> Result<(Option<Duration>, Option<IdClaim<'_>>), Refusal> {
         match self {
             Dialect::Native => match request.fields.get(rpc::TIMEOUT).map(rpc::read_timeout) {
                 None => Ok((None, None)),
@@ -70,13 +70,13 @@
                 Some(Err(why)) => Err(Refusal { status: 400, why }),
             },
             Dialect::Platform(platform) => {
-                let name = theirs::method_of(&request.target);
-                let safe = live.methods.find(name).map(|method| live.safe[method]);
-                let ask = theirs::read(request, safe)?;
+                let name = platform_rpc::method_of(&request.target);
+                let repeatable = settings.methods.find(name).map(|method| settings.repeatable[method]);
+                let parsed = platform_rpc::read(request, repeatable)?;
                 let why = "an RPC with this X-Request-ID was taken already";
-                let claim = platform.ids.claim(ask.id, ask.left.min(live.longest));
+                let claim = platform.ids.claim(parsed.id, parsed.left.min(settings.longest_deadline));
                 let claim = claim.ok_or(Refusal { status: 409, why })?;
-                Ok((Some(ask.left), Some(claim)))
+                Ok((Some(parsed.left), Some(claim)))
             }
         }
     }
@@ -93,72 +93,80 @@
                 repeated: fields.get(rpc::EARLIER_TRIES).is_some_and(|n| n != "0"),
             },
             Dialect::Platform(_) => {
-                let (tenant, repeated) = theirs::sender(fields);
-                Call { method: theirs::method_of(target), tenant, key: None, tokened: false, left, repeated }
+                let (tenant, repeated) = platform_rpc::sender(fields);
+                Call {
+                    method: platform_rpc::method_of(target),
+                    tenant,
+                    key: None,
+                    tokened: false,
+                    left,
+                    repeated,
+                }
             }
         }
     }
 
     /// The request head for a node, without its framing fields.
-    pub fn to_node(
-        &self, verb: &str, target: &str, fields: &Fields, via: &str, node: SocketAddr, within: Duration,
+    pub fn request_head(
+        &self, verb: &str, target: &str, fields: &Fields, via: &str, node: SocketAddr, time_left: Duration,
     ) -> HeadWriter {
         let head = HeadWriter::request(verb, target).field("host", node.to_string());
         match self {
-            Dialect::Native => {
-                head.pass(fields, &OURS).field(rpc::TIMEOUT, rpc::write_timeout(within)).field("via", via)
-            }
-            Dialect::Platform(_) => {
-                head.pass(fields, &OURS_THERE).field(theirs::TIMEOUT, theirs::timeout(within))
-            }
+            Dialect::Native => head
+                .pass(fields, &NOT_FORWARDED)
+                .field(rpc::TIMEOUT, rpc::write_timeout(time_left))
+                .field("via", via),
+            Dialect::Platform(_) => head
+                .pass(fields, &NOT_FORWARDED_PLATFORM)
+                .field(platform_rpc::TIMEOUT, platform_rpc::timeout(time_left)),
         }
     }
 
     /// Whether a node runs only complete requests, so that a send that failed before its last byte proves
     /// that nothing ran. In the native protocol a node may begin earlier.
-    pub fn begins_whole(&self) -> bool {
+    pub fn runs_only_complete(&self) -> bool {
         self.platform().is_some()
     }
 
     /// Reads a node's response head: the status, whether the node says that the RPC never ran, and its load.
-    pub fn heard(&self, head: &Response) -> (u16, bool, Metrics) {
+    pub fn interpret_response(&self, head: &Response) -> (u16, bool, Metrics) {
         match self {
             Dialect::Native => {
                 let load = head.fields.get(orca::FIELD).map(Metrics::read).unwrap_or_default();
                 (head.status, head.fields.get(rpc::NEVER_RAN) == Some("1"), load)
             }
-            Dialect::Platform(_) => theirs::heard(head),
+            Dialect::Platform(_) => platform_rpc::heard(head),
         }
     }
 
     /// Whether an answer with this framing is invalid.
-    pub fn spoilt(&self, framing: Framing) -> bool {
-        self.platform().is_some() && theirs::spoilt(framing)
+    pub fn is_invalid_framing(&self, framing: Framing) -> bool {
+        self.platform().is_some() && platform_rpc::spoilt(framing)
     }
 
     /// The longest valid answer in bytes, if there is a limit.
-    pub fn longest_answer(&self) -> Option<usize> {
+    pub fn max_answer_bytes(&self) -> Option<usize> {
         self.platform().map(|_| BODY)
     }
 
     /// The response head of a successful RPC, without its framing fields.
-    pub fn ok(&self, head: &Response, picks: usize, build: u32) -> HeadWriter {
+    pub fn ok_head(&self, head: &Response, picks: usize, build: u32) -> HeadWriter {
         let writer = HeadWriter::response(head.status);
         match self {
             Dialect::Native => writer
-                .pass(&head.fields, &NOT_FOR_CLIENTS)
+                .pass(&head.fields, &NOT_RETURNED)
                 .field(rpc::ANSWER, rpc::Kind::Ok.word())
                 .field(rpc::PICKS, picks.to_string())
                 .field(rpc::BUILD, build.to_string()),
-            Dialect::Platform(_) => writer.pass(&head.fields, &NOT_FOR_CLIENTS_THERE),
+            Dialect::Platform(_) => writer.pass(&head.fields, &NOT_RETURNED_PLATFORM),
         }
     }
 
     /// The response head of a pushed-back RPC, without its framing fields.
-    pub fn push_back(&self, picks: usize, retry_after: Option<Duration>, why: Why) -> HeadWriter {
+    pub fn push_back_head(&self, picks: usize, retry_after: Option<Duration>, why: Why) -> HeadWriter {
         match self {
             Dialect::Native => {
-                let head = said(503, rpc::Kind::PushedBack, picks, why.word());
+                let head = answer_head(503, rpc::Kind::PushedBack, picks, why.word());
                 match retry_after.filter(|wait| !wait.is_zero()) {
                     Some(wait) => head
                         .field("retry-after", wait.as_secs_f64().ceil().to_string())
@@ -166,21 +174,21 @@
                     None => head,
                 }
             }
-            Dialect::Platform(_) => theirs::push_back(retry_after),
+            Dialect::Platform(_) => platform_rpc::push_back(retry_after),
         }
     }
 
     /// The response head of an aborted RPC, without its framing fields.
-    pub fn abort(&self, picks: usize, why: Why) -> HeadWriter {
+    pub fn abort_head(&self, picks: usize, why: Why) -> HeadWriter {
         let status = if why == Why::TimedOut { 504 } else { 502 };
         match self {
-            Dialect::Native => said(status, rpc::Kind::Aborted, picks, why.word()),
+            Dialect::Native => answer_head(status, rpc::Kind::Aborted, picks, why.word()),
             Dialect::Platform(_) => HeadWriter::response(status),
         }
     }
 }
 
-fn said(status: u16, kind: rpc::Kind, picks: usize, why: &str) -> HeadWriter {
+fn answer_head(status: u16, kind: rpc::Kind, picks: usize, why: &str) -> HeadWriter {
     HeadWriter::response(status)
         .field("content-type", "text/plain")
         .field(rpc::ANSWER, kind.word())
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -14,49 +14,50 @@
 
 /// An answer up to this many bytes is buffered until complete, so that another pick can still replace one
 /// that breaks off.
-pub const HELD: usize = 16 * 1024;
+pub const MAX_BUFFERED_ANSWER: usize = 16 * 1024;
 
 /// A streamed answer that delivers no bytes for this long is cancelled.
-const STALLED: Duration = Duration::from_secs(10);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// While a client pauses in a long body, the node's connection is polled at this interval for an early
 /// answer.
-const EARLY: Duration = Duration::from_millis(20);
+const EARLY_ANSWER_POLL: Duration = Duration::from_millis(20);
 
 /// The RPC as it is sent to any node.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     pub verb: String,
     pub target: String,
     pub fields: http::Fields,
-    /// The buffered part of the body; all of it if `rest` is `None`.
+    /// The buffered part of the body; all of it if `rest_framing` is `None`.
     pub body: Vec<u8>,
     /// The framing of the body if part of it is still to come from the client.
-    pub rest: Option<Framing>,
+    pub rest_framing: Option<Framing>,
     /// This marshal's name in `Via`.
     pub via: String,
 }
 
-impl Outgoing {
-    /// The request for this node as far as it is buffered; `within` is the time left.
-    fn bytes(&self, dialect: &Dialect, node: SocketAddr, within: Duration) -> Vec<u8> {
-        let mut head = dialect.to_node(&self.verb, &self.target, &self.fields, &self.via, node, within);
-        head = match self.rest {
+impl OutgoingRequest {
+    /// The request for this node as far as it is buffered.
+    fn bytes(&self, dialect: &Dialect, node: SocketAddr, time_left: Duration) -> Vec<u8> {
+        let mut head =
+            dialect.request_head(&self.verb, &self.target, &self.fields, &self.via, node, time_left);
+        head = match self.rest_framing {
             Some(Framing::Length(n)) => head.field("content-length", n.to_string()),
             Some(_) => head.field("transfer-encoding", "chunked"),
             None if self.body.is_empty() && matches!(&*self.verb, "GET" | "HEAD") => head,
             None => head.field("content-length", self.body.len().to_string()),
         };
         let mut bytes = head.finish();
-        if self.in_chunks() && !self.body.is_empty() {
-            bytes.extend_from_slice(&chunk(&self.body));
+        if self.is_chunked() && !self.body.is_empty() {
+            bytes.extend_from_slice(&encode_chunk(&self.body));
         } else {
             bytes.extend_from_slice(&self.body);
         }
         bytes
     }
 
-    fn in_chunks(&self) -> bool {
-        self.rest.is_some_and(|framing| !matches!(framing, Framing::Length(_)))
+    fn is_chunked(&self) -> bool {
+        self.rest_framing.is_some_and(|framing| !matches!(framing, Framing::Length(_)))
     }
 }
 
@@ -65,7 +66,7 @@
     pub head: Response,
     pub body: Vec<u8>,
     /// The body is longer than the buffer; the rest is streamed.
-    pub more: bool,
+    pub streamed: bool,
 }
 
 impl Answer {
@@ -73,8 +74,8 @@
     pub fn head_bytes(
         &self, dialect: &Dialect, picks: usize, build: u32, close: bool, spread_ms: Option<u64>,
     ) -> Vec<u8> {
-        let mut head = dialect.ok(&self.head, picks, build);
-        head = match (self.more, self.head.framing) {
+        let mut head = dialect.ok_head(&self.head, picks, build);
+        head = match (self.streamed, self.head.framing) {
             (true, Framing::Length(n)) => head.field("content-length", n.to_string()),
             (true, _) => head.field("transfer-encoding", "chunked"),
             // A 204 or 304 has no length, and the length that a HEAD response would announce is not that of
@@ -93,32 +94,32 @@
 }
 
 /// Result of a wait for more of a long request body.
-pub enum Drawn {
+pub enum BodyRead {
     Data(Vec<u8>),
     /// No bytes arrived within the wait.
-    Nothing,
+    Pending,
     End,
     /// No more will arrive: the client has left, sends too slowly, or sent malformed data.
-    Over,
+    Failed,
 }
 
 /// The client's side of an RPC as a pick uses it: source of the rest of a long request body and destination
 /// of a long answer.
 pub trait Caller {
     /// Waits for more of the body. From the first call on, the body is no longer complete for any other pick.
-    fn draw(&mut self, wait: Duration) -> Drawn;
+    fn read_body(&mut self, wait: Duration) -> BodyRead;
     /// Sends the head and the first part of the answer. Returns false if the client no longer wants them.
-    fn begin(&mut self, answer: &Answer) -> bool;
+    fn begin_answer(&mut self, answer: &Answer) -> bool;
     /// Sends more of a streamed answer. Returns false if the client no longer accepts it.
-    fn part(&mut self, bytes: &[u8]) -> bool;
+    fn send_part(&mut self, bytes: &[u8]) -> bool;
 }
 
 /// Gives access to a pick's connection while it is in use, so that another coroutine can cancel the pick.
-pub trait Handle {
+pub trait PickHandle {
     /// Registers the connection. Returns false if the pick was cancelled in the meantime.
-    fn hold(&self, look: Look) -> bool;
+    fn attach(&self, look: Look) -> bool;
     /// Whether the pick was cancelled.
-    fn severed(&self) -> bool;
+    fn is_cancelled(&self) -> bool;
 }
 
 /// Admission check for one attempt.
@@ -126,19 +127,19 @@
     /// Called once the connection is established, right before the first byte is written. Returns false if
     /// nothing may be sent.
     fn admit(&self) -> bool;
-    /// Called after the request was written; `begun` was taken right before its first byte.
-    fn sent(&self, begun: Instant);
+    /// Called after the request was written; `write_began` was taken right before its first byte.
+    fn sent(&self, write_began: Instant);
 }
 
 /// One attempt of an RPC at one node.
 pub struct Pick<'a> {
     pub node: SocketAddr,
     /// The pick's deadline.
-    pub by: Instant,
+    pub deadline: Instant,
     /// The RPC must not run twice, so only a recently used idle connection is reused.
     pub careful: bool,
     /// Connect timeout.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     pub pool: &'a Pool,
     pub dialect: &'a Dialect,
     pub admission: &'a dyn Admission,
@@ -146,29 +147,31 @@
 
 impl Pick<'_> {
     /// Sends the RPC and reads its answer. The answer is present whenever [`Saw::Answer`] is returned.
-    pub fn run(&self, rpc: &Outgoing, handle: &dyn Handle, caller: &mut dyn Caller) -> (Saw, Option<Answer>) {
-        let (by, began) = (self.by, Instant::now());
-        if began >= by {
+    pub fn run(
+        &self, rpc: &OutgoingRequest, handle: &dyn PickHandle, caller: &mut dyn Caller,
+    ) -> (Saw, Option<Answer>) {
+        let (deadline, began) = (self.deadline, Instant::now());
+        if began >= deadline {
             return (Saw::NotBegun, None);
         }
         let mut socket = match self.pool.take(self.node, self.careful, began) {
             Some(socket) => socket,
-            None => match Socket::connect(self.node, (by - began).min(self.connect)) {
+            None => match Socket::connect(self.node, (deadline - began).min(self.connect_timeout)) {
                 Ok(socket) => socket,
                 Err(e) => {
                     // Closing idle connections frees descriptors for the next attempt.
                     if e.raw_os_error().is_some_and(out_of_descriptors) {
-                        self.pool.tidy(true);
+                        self.pool.close_expired(true);
                     }
                     return (Saw::NotSent, None);
                 }
             },
         };
-        if !handle.hold(socket.look()) {
+        if !handle.attach(socket.look()) {
             return (Saw::NotBegun, None);
         }
-        let begun = Instant::now();
-        let left = by.saturating_duration_since(begun);
+        let write_began = Instant::now();
+        let left = deadline.saturating_duration_since(write_began);
         if left.is_zero() {
             return (Saw::NotSent, None);
         }
@@ -176,37 +179,42 @@
         if !self.admission.admit() {
             return (Saw::NotBegun, None);
         }
-        let written = socket.write(&bytes, by);
-        self.admission.sent(begun);
-        if let Err((handed, e)) = written {
+        let written = socket.write(&bytes, deadline);
+        self.admission.sent(write_began);
+        if let Err((bytes_written, e)) = written {
             // The kernel accepted no byte, so no node can have seen any of the RPC.
             let saw = match e.kind() {
-                _ if handed == 0 || self.dialect.begins_whole() => Saw::NotSent,
+                _ if bytes_written == 0 || self.dialect.runs_only_complete() => Saw::NotSent,
                 ErrorKind::TimedOut => Saw::TimedOut,
                 _ => Saw::Broken,
             };
             return (saw, None);
         }
-        let upload = match rpc.rest {
-            Some(_) => upload(&socket, rpc.in_chunks(), caller, by),
-            None => Upload::Whole,
+        let upload = match rpc.rest_framing {
+            Some(_) => upload(&socket, rpc.is_chunked(), caller, deadline),
+            None => Upload::Complete,
         };
         match upload {
-            Upload::Whole | Upload::Early => {}
-            Upload::Late => return (Saw::TimedOut, None),
-            Upload::Over => return (Saw::Severed, None),
+            Upload::Complete | Upload::EarlyAnswer => {}
+            Upload::TimedOut => return (Saw::TimedOut, None),
+            Upload::Failed => return (Saw::Severed, None),
         }
-        let mut reader =
-            Reader { socket: &mut socket, dialect: self.dialect, buf: Vec::new(), by, passing: false };
+        let mut reader = Reader {
+            socket: &mut socket,
+            dialect: self.dialect,
+            buf: Vec::new(),
+            deadline,
+            streaming: false,
+        };
         let (saw, answer) = reader.answer(&rpc.verb, caller);
-        let whole = matches!(saw, Saw::Answer { .. });
-        if handle.severed() && !whole {
+        let complete = matches!(saw, Saw::Answer { .. });
+        if handle.is_cancelled() && !complete {
             return (Saw::Severed, None);
         }
         // Bytes after the answer belong to no request: the node answered twice or sent a wrong length.
-        let rest = reader.buf;
-        let clean = rest.is_empty() && matches!(upload, Upload::Whole);
-        if whole && clean && answer.as_ref().is_some_and(|a| a.head.keep_alive) {
+        let unread = reader.buf;
+        let clean = unread.is_empty() && matches!(upload, Upload::Complete);
+        if complete && clean && answer.as_ref().is_some_and(|a| a.head.keep_alive) {
             self.pool.put(self.node, socket, began, Instant::now());
         }
         (saw, answer)
@@ -215,40 +223,40 @@
 
 /// How sending a long body ended.
 enum Upload {
-    Whole,
+    Complete,
     /// The node answered or disconnected before the end; an answer may still be readable.
-    Early,
+    EarlyAnswer,
     /// The node did not accept the body in time.
-    Late,
+    TimedOut,
     /// The client did not deliver the body.
-    Over,
+    Failed,
 }
 
 /// Streams the rest of a request body from the client, buffering one part at a time.
-fn upload(socket: &Socket, chunks: bool, caller: &mut dyn Caller, by: Instant) -> Upload {
+fn upload(socket: &Socket, chunked: bool, caller: &mut dyn Caller, deadline: Instant) -> Upload {
     loop {
-        let left = by.saturating_duration_since(Instant::now());
-        let (part, last) = match caller.draw(left.min(EARLY)) {
-            Drawn::End if !chunks => return Upload::Whole,
+        let left = deadline.saturating_duration_since(Instant::now());
+        let (chunk, last) = match caller.read_body(left.min(EARLY_ANSWER_POLL)) {
+            BodyRead::End if !chunked => return Upload::Complete,
             // After an early answer, sending the rest of the body is pointless.
-            _ if !socket.quiet() => return Upload::Early,
-            Drawn::Nothing if left > EARLY => continue,
-            Drawn::Nothing | Drawn::Over => return Upload::Over,
-            Drawn::End => (chunk(&[]), true),
-            Drawn::Data(data) if chunks => (chunk(&data), false),
-            Drawn::Data(data) => (data, false),
+            _ if !socket.quiet() => return Upload::EarlyAnswer,
+            BodyRead::Pending if left > EARLY_ANSWER_POLL => continue,
+            BodyRead::Pending | BodyRead::Failed => return Upload::Failed,
+            BodyRead::End => (encode_chunk(&[]), true),
+            BodyRead::Data(data) if chunked => (encode_chunk(&data), false),
+            BodyRead::Data(data) => (data, false),
         };
-        match socket.write(&part, by) {
-            Ok(()) if last => return Upload::Whole,
+        match socket.write(&chunk, deadline) {
+            Ok(()) if last => return Upload::Complete,
             Ok(()) => {}
-            Err((_, e)) if e.kind() == ErrorKind::TimedOut => return Upload::Late,
-            Err(_) => return Upload::Early,
+            Err((_, e)) if e.kind() == ErrorKind::TimedOut => return Upload::TimedOut,
+            Err(_) => return Upload::EarlyAnswer,
         }
     }
 }
 
 /// Encodes data as one chunk; empty data gives the last chunk.
-fn chunk(data: &[u8]) -> Vec<u8> {
+fn encode_chunk(data: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", data.len()).as_bytes(), data, b"\r\n"].concat()
 }
 
@@ -257,13 +265,13 @@
     socket: &'a mut Socket,
     dialect: &'a Dialect,
     buf: Vec<u8>,
-    by: Instant,
+    deadline: Instant,
     /// The answer is being streamed to the client.
-    passing: bool,
+    streaming: bool,
 }
 
 /// Why an answer is incomplete.
-enum Stop {
+enum Incomplete {
     Saw(Saw),
     /// The client no longer wants the answer.
     Unwanted,
@@ -271,28 +279,28 @@
 
 impl Reader<'_> {
     /// Reads more bytes. Returns false at the end of the stream.
-    fn fill(&mut self) -> Result<bool, Stop> {
-        let mut part = [0; 8192];
-        if self.passing {
+    fn read_more(&mut self) -> Result<bool, Incomplete> {
+        let mut chunk = [0; 8192];
+        if self.streaming {
             // The answer now belongs to the client: neither the pick's timeout nor the RPC's deadline applies
             // any longer.
-            self.by = Instant::now() + STALLED;
+            self.deadline = Instant::now() + STREAM_TIMEOUT;
         }
-        match self.socket.read(&mut part, Some(self.by)) {
+        match self.socket.read(&mut chunk, Some(self.deadline)) {
             Ok(0) => Ok(false),
             Ok(n) => {
-                self.buf.extend_from_slice(&part[..n]);
+                self.buf.extend_from_slice(&chunk[..n]);
                 Ok(true)
             }
             Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
-                Err(Stop::Saw(Saw::TimedOut))
+                Err(Incomplete::Saw(Saw::TimedOut))
             }
-            Err(_) => Err(Stop::Saw(Saw::Broken)),
+            Err(_) => Err(Incomplete::Saw(Saw::Broken)),
         }
     }
 
     /// Reads the final response head; `to_head`: the request was a HEAD.
-    fn head(&mut self, to_head: bool) -> Result<Response, Stop> {
+    fn head(&mut self, to_head: bool) -> Result<Response, Incomplete> {
         // Interim responses (1xx) are skipped. The limit stops a node that sends nothing else.
         for _ in 0..8 {
             let head = loop {
@@ -301,9 +309,9 @@
                         self.buf.drain(..used);
                         break head;
                     }
-                    Ok(None) if self.fill()? => {}
-                    Ok(None) => return Err(Stop::Saw(Saw::Broken)),
-                    Err(_) => return Err(Stop::Saw(Saw::Garbled)),
+                    Ok(None) if self.read_more()? => {}
+                    Ok(None) => return Err(Incomplete::Saw(Saw::Broken)),
+                    Err(_) => return Err(Incomplete::Saw(Saw::Garbled)),
                 }
             };
             if head.status == 101 {
@@ -313,60 +321,60 @@
                 return Ok(head);
             }
         }
-        Err(Stop::Saw(Saw::Garbled))
+        Err(Incomplete::Saw(Saw::Garbled))
     }
 
     /// Reads the whole answer. A long successful one is streamed to the client.
     fn answer(&mut self, verb: &str, caller: &mut dyn Caller) -> (Saw, Option<Answer>) {
         let head = match self.head(verb == "HEAD") {
             Ok(head) => head,
-            Err(Stop::Saw(saw)) => return (saw, None),
-            Err(Stop::Unwanted) => return (Saw::Severed, None),
+            Err(Incomplete::Saw(saw)) => return (saw, None),
+            Err(Incomplete::Unwanted) => return (Saw::Severed, None),
         };
-        if self.dialect.spoilt(head.framing) {
+        if self.dialect.is_invalid_framing(head.framing) {
             return (Saw::Garbled, None);
         }
-        let (status, never_ran, load) = self.dialect.heard(&head);
+        let (status, never_ran, load) = self.dialect.interpret_response(&head);
         let saw = Saw::Answer { status, never_ran, load };
-        let mut answer = Answer { head, body: Vec::new(), more: false };
+        let mut answer = Answer { head, body: Vec::new(), streamed: false };
         match self.body(&mut answer, saw.outcome(), caller) {
             Ok(()) => (saw, Some(answer)),
-            Err(Stop::Saw(saw)) => (saw, None),
-            Err(Stop::Unwanted) => (Saw::Severed, None),
+            Err(Incomplete::Saw(saw)) => (saw, None),
+            Err(Incomplete::Unwanted) => (Saw::Severed, None),
         }
     }
 
     /// Reads the body into `answer`, or streams it once it exceeds the buffer.
     fn body(
         &mut self, answer: &mut Answer, outcome: ivydrift_marshal::Outcome, caller: &mut dyn Caller,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), Incomplete> {
         let mut walk = Walk::new(answer.head.framing);
-        let chunks = !matches!(answer.head.framing, Framing::Length(_));
+        let chunked = !matches!(answer.head.framing, Framing::Length(_));
         loop {
             match walk.step(&self.buf) {
                 Ok(Part::Data(n)) => {
                     let data: Vec<u8> = self.buf.drain(..n).collect();
-                    if answer.more {
-                        pass(caller, &data, chunks)?;
+                    if answer.streamed {
+                        stream_part(caller, &data, chunked)?;
                         continue;
                     }
                     answer.body.extend_from_slice(&data);
-                    if let Some(longest) = self.dialect.longest_answer() {
-                        if answer.body.len() > longest {
-                            return Err(Stop::Saw(Saw::Garbled));
+                    if let Some(max_bytes) = self.dialect.max_answer_bytes() {
+                        if answer.body.len() > max_bytes {
+                            return Err(Incomplete::Saw(Saw::Garbled));
                         }
-                    } else if answer.body.len() > HELD && !walk.ended() {
+                    } else if answer.body.len() > MAX_BUFFERED_ANSWER && !walk.ended() {
                         if outcome != ivydrift_marshal::Outcome::Ok {
                             // The rest of a long error response is not needed: its status is known.
                             answer.head.keep_alive = false;
                             return Ok(());
                         }
-                        answer.more = true;
-                        self.passing = true;
-                        if !caller.begin(answer) {
-                            return Err(Stop::Unwanted);
+                        answer.streamed = true;
+                        self.streaming = true;
+                        if !caller.begin_answer(answer) {
+                            return Err(Incomplete::Unwanted);
                         }
-                        pass(caller, &answer.body, chunks)?;
+                        stream_part(caller, &answer.body, chunked)?;
                         answer.body.clear();
                     }
                 }
@@ -375,25 +383,25 @@
                 }
                 Ok(Part::End) => break,
                 Ok(Part::Need) => {
-                    if !self.fill()? {
+                    if !self.read_more()? {
                         if walk.closed() {
                             break;
                         }
-                        return Err(Stop::Saw(Saw::Broken));
+                        return Err(Incomplete::Saw(Saw::Broken));
                     }
                 }
-                Err(_) => return Err(Stop::Saw(Saw::Garbled)),
+                Err(_) => return Err(Incomplete::Saw(Saw::Garbled)),
             }
         }
-        if answer.more && chunks && !caller.part(b"0\r\n\r\n") {
-            return Err(Stop::Unwanted);
+        if answer.streamed && chunked && !caller.send_part(b"0\r\n\r\n") {
+            return Err(Incomplete::Unwanted);
         }
         Ok(())
     }
 }
 
-/// Streams data to the client, chunked if `chunks` is set.
-fn pass(caller: &mut dyn Caller, data: &[u8], chunks: bool) -> Result<(), Stop> {
-    let wanted = if chunks { caller.part(&chunk(data)) } else { caller.part(data) };
-    wanted.then_some(()).ok_or(Stop::Unwanted)
+/// Streams data to the client, chunked if `chunked` is set.
+fn stream_part(caller: &mut dyn Caller, data: &[u8], chunked: bool) -> Result<(), Incomplete> {
+    let wanted = if chunked { caller.send_part(&encode_chunk(data)) } else { caller.send_part(data) };
+    wanted.then_some(()).ok_or(Incomplete::Unwanted)
 }
--- a/crates/edge/src/program.rs
+++ b/crates/edge/src/executable.rs
@@ -4,7 +4,7 @@
 
 /// The version and the first digits of the executable's digest, since two builds of one version are different
 /// programs.
-pub fn name() -> String {
+pub fn identity() -> String {
     let version = env!("CARGO_PKG_VERSION");
     let digest = || {
         let mut hasher = blake3::Hasher::new();
--- a/crates/edge/src/guard.rs
+++ b/crates/edge/src/guard.rs
@@ -14,7 +14,7 @@
 use crate::Edge;
 
 /// Tolerance for an attempt that begins after its deadline, or after the client was seen to leave.
-const SLACK: Duration = Duration::from_millis(100);
+const START_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Counters since the process started.
 #[derive(Default)]
@@ -77,7 +77,7 @@
     pub id: Id,
     pub node: SocketAddr,
     /// The attempt's deadline.
-    pub by: Instant,
+    pub deadline: Instant,
 }
 
 impl Admission for Attempt<'_> {
@@ -94,16 +94,16 @@
         false
     }
 
-    fn sent(&self, begun: Instant) {
+    fn sent(&self, write_began: Instant) {
         let (edge, guard) = (self.edge, &self.edge.guard);
-        let at = edge.now().saturating_sub(begun.elapsed());
-        let late = edge.core.lock().unwrap().late_send(at, self.id, self.node);
-        if let Some(late) = late {
+        let at = edge.now().saturating_sub(write_began.elapsed());
+        let lateness = edge.core.lock().unwrap().late_send(at, self.id, self.node);
+        if let Some(lateness) = lateness {
             guard.sent_to_withdrawn.fetch_add(1, Ordering::Relaxed);
-            let late_ms = late.as_millis() as u64;
+            let late_ms = lateness.as_millis() as u64;
             tracing::error!(id = self.id, node = %self.node, late_ms, rule = "drain", "violation: sent to a drained node");
         }
-        if begun > self.by + SLACK {
+        if write_began > self.deadline + START_TOLERANCE {
             guard.sent_too_late.fetch_add(1, Ordering::Relaxed);
             tracing::error!(id = self.id, node = %self.node, rule = "lost", "violation: sent after its time");
         }
--- a/crates/edge/src/query.rs
+++ b/crates/edge/src/query.rs
@@ -12,15 +12,15 @@
 use rand::RngExt;
 
 /// A connection must be established within this time, or the query fails.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The connection on which a query waits, so that another coroutine can end the wait.
 #[derive(Clone, Default)]
-pub struct Line(Arc<Mutex<Option<Look>>>);
+pub struct QueryHandle(Arc<Mutex<Option<Look>>>);
 
-impl Line {
+impl QueryHandle {
     /// Shuts down the connection, which ends the wait.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         if let Some(look) = &*self.0.lock().unwrap() {
             look.cut();
         }
@@ -48,7 +48,7 @@
         matches!(self, QueryError::Connect(e) if e.kind() == ErrorKind::ConnectionRefused)
     }
 
-    fn of_connection(e: io::Error) -> Self {
+    fn from_io(e: io::Error) -> Self {
         match e.kind() {
             ErrorKind::TimedOut | ErrorKind::WouldBlock => QueryError::TimedOut,
             ErrorKind::InvalidData => QueryError::Unreadable(e.to_string()),
@@ -80,45 +80,45 @@
 pub struct QueryClient {
     to: SocketAddr,
     /// Value of the User-Agent field.
-    name: String,
+    user_agent: String,
     socket: Option<Socket>,
-    line: Line,
+    handle: QueryHandle,
 }
 
 impl QueryClient {
     /// A client for queries to one address.
     pub fn new(to: SocketAddr, marshal: usize) -> Self {
-        let name = format!("ivydrift/{} marshal-{marshal}", env!("CARGO_PKG_VERSION"));
-        QueryClient { to, name, socket: None, line: Line::default() }
+        let user_agent = format!("ivydrift/{} marshal-{marshal}", env!("CARGO_PKG_VERSION"));
+        QueryClient { to, user_agent, socket: None, handle: QueryHandle::default() }
     }
 
-    /// A client whose waits end when `line` is cut.
-    pub fn on(line: &Line, to: SocketAddr, marshal: usize) -> Self {
-        QueryClient { line: line.clone(), ..QueryClient::new(to, marshal) }
+    /// A client whose waits end when `handle` is cut.
+    pub fn with_handle(handle: &QueryHandle, to: SocketAddr, marshal: usize) -> Self {
+        QueryClient { handle: handle.clone(), ..QueryClient::new(to, marshal) }
     }
 
-    /// Sends a query and reads its complete answer of at most `most` bytes within the given time.
+    /// Sends a query and reads its complete answer of at most `max_bytes` bytes within the given time.
     ///
     /// # Errors
     /// Anything but a complete answer of status 200.
     pub fn send(
-        &mut self, verb: &str, path: &str, body: &[u8], most: usize, within: Duration,
+        &mut self, verb: &str, path: &str, body: &[u8], max_bytes: usize, timeout: Duration,
     ) -> Result<Reply, QueryError> {
-        let by = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let mut socket = match self.socket.take().filter(Socket::quiet) {
             Some(socket) => socket,
-            None => Socket::connect(self.to, within.min(CONNECT)).map_err(QueryError::Connect)?,
+            None => Socket::connect(self.to, timeout.min(CONNECT_TIMEOUT)).map_err(QueryError::Connect)?,
         };
-        *self.line.0.lock().unwrap() = Some(socket.look());
-        let bytes = self.message(verb, path, body);
-        socket.write(&bytes, by).map_err(|(_, e)| QueryError::of_connection(e))?;
-        let (mut buf, mut part) = (Vec::new(), [0; 8192]);
-        let read = message::response(&mut buf, most, |buf| {
-            let n = socket.read(&mut part, Some(by))?;
-            buf.extend_from_slice(&part[..n]);
+        *self.handle.0.lock().unwrap() = Some(socket.look());
+        let bytes = self.request_bytes(verb, path, body);
+        socket.write(&bytes, deadline).map_err(|(_, e)| QueryError::from_io(e))?;
+        let (mut buf, mut chunk) = (Vec::new(), [0; 8192]);
+        let parsed = message::response(&mut buf, max_bytes, |buf| {
+            let n = socket.read(&mut chunk, Some(deadline))?;
+            buf.extend_from_slice(&chunk[..n]);
             Ok(n > 0)
         });
-        let (head, body) = read.map_err(QueryError::of_connection)?;
+        let (head, body) = parsed.map_err(QueryError::from_io)?;
         if head.status != 200 {
             return Err(QueryError::Status(head.status));
         }
@@ -129,10 +129,10 @@
         Ok(Reply { index, body })
     }
 
-    fn message(&self, verb: &str, path: &str, body: &[u8]) -> Vec<u8> {
+    fn request_bytes(&self, verb: &str, path: &str, body: &[u8]) -> Vec<u8> {
         let mut bytes = HeadWriter::request(verb, path)
             .field("host", self.to.to_string())
-            .field("user-agent", &self.name)
+            .field("user-agent", &self.user_agent)
             .field("content-length", body.len().to_string())
             .field("content-type", "application/json")
             .finish();
@@ -143,6 +143,6 @@
 
 /// The wait after this many failures: exponential backoff with full jitter, so that marshals do not retry in
 /// step.
-pub fn jitter(base: Duration, failures: u32) -> Duration {
+pub fn backoff(base: Duration, failures: u32) -> Duration {
     (base * (1 << failures.min(4))).mul_f64(rand::rng().random_range(0.1..=1.0))
 }
--- a/crates/edge/src/ids/mod.rs
+++ b/crates/edge/src/request_ids/mod.rs
@@ -10,59 +10,60 @@
 
 /// An id stays claimed for this long after its RPC has ended, or for the client's timeout if that is longer:
 /// until then a copy that was sent before the answer may still arrive.
-const TAKEN: Duration = Duration::from_secs(8);
+const RETENTION: Duration = Duration::from_secs(8);
 /// The most ids of ended RPCs that are remembered; they take 2 MB. Ids in progress are limited by the number
 /// of connections.
-const MOST: usize = 20_000;
+const MAX_ENDED: usize = 20_000;
 
 /// The ids that are claimed or remembered.
 #[derive(Default)]
-pub struct Ids(Mutex<Known>);
+pub struct RequestIds(Mutex<ClaimedIds>);
 
 #[derive(Default)]
-struct Known {
+struct ClaimedIds {
     all: HashSet<Arc<str>>,
     /// Ids of ended RPCs, each with the time until which it is remembered.
     ended: VecDeque<(Instant, Arc<str>)>,
 }
 
 /// An id that is claimed while this value lives, and for a while after.
-pub struct Claim<'a> {
-    ids: &'a Ids,
+pub struct IdClaim<'a> {
+    ids: &'a RequestIds,
     id: Arc<str>,
-    patience: Duration,
+    client_timeout: Duration,
 }
 
-impl Ids {
-    /// Claims an id whose client waits no longer than `patience`. Returns `None` if it is already claimed.
-    pub fn claim(&self, id: &str, patience: Duration) -> Option<Claim<'_>> {
+impl RequestIds {
+    /// Claims an id whose client waits no longer than `client_timeout`. Returns `None` if it is already
+    /// claimed.
+    pub fn claim(&self, id: &str, client_timeout: Duration) -> Option<IdClaim<'_>> {
         let id: Arc<str> = id.into();
-        let mut known = self.0.lock().unwrap();
-        known.forget(Instant::now());
-        known.all.insert(id.clone()).then(|| Claim { ids: self, id, patience })
+        let mut claimed = self.0.lock().unwrap();
+        claimed.expire(Instant::now());
+        claimed.all.insert(id.clone()).then(|| IdClaim { ids: self, id, client_timeout })
     }
 }
 
-impl Known {
+impl ClaimedIds {
     /// Releases the ids of ended RPCs that have expired or exceed the limit.
-    fn forget(&mut self, now: Instant) {
-        while self.ended.front().is_some_and(|(until, _)| now >= *until) || self.ended.len() > MOST {
+    fn expire(&mut self, now: Instant) {
+        while self.ended.front().is_some_and(|(until, _)| now >= *until) || self.ended.len() > MAX_ENDED {
             if let Some((_, old)) = self.ended.pop_front() {
                 self.all.remove(&old);
             }
         }
     }
 
-    fn end(&mut self, id: Arc<str>, until: Instant) {
+    fn remember_ended(&mut self, id: Arc<str>, until: Instant) {
         self.ended.push_back((until, id));
     }
 }
 
-impl Drop for Claim<'_> {
+impl Drop for IdClaim<'_> {
     fn drop(&mut self) {
-        let until = Instant::now() + self.patience.max(TAKEN);
-        let mut known = self.ids.0.lock().unwrap();
-        known.end(self.id.clone(), until);
-        known.forget(Instant::now());
+        let until = Instant::now() + self.client_timeout.max(RETENTION);
+        let mut claimed = self.ids.0.lock().unwrap();
+        claimed.remember_ended(self.id.clone(), until);
+        claimed.expire(Instant::now());
     }
 }
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -14,7 +14,7 @@
 
 use crate::dialect::{self, Dialect};
 use crate::guard::{Violations, WithheldCounts};
-use crate::{begin, prepare, Edge, Live};
+use crate::{run, set_up, Edge, Settings};
 use ivydrift_sockets::{Listener, Waker};
 
 /// A running marshal.
@@ -28,7 +28,7 @@
 
 impl Running {
     fn begin(edge: Arc<Edge>, listener: Listener) -> Self {
-        let (listens, waker) = begin(&edge, listener);
+        let (listens, waker) = run(&edge, listener);
         Running { edge, listens, waker }
     }
 }
@@ -38,7 +38,7 @@
 /// # Errors
 /// If one of its addresses cannot be bound.
 pub fn start(terms: Terms) -> io::Result<Running> {
-    let (edge, listener) = prepare(terms, Dialect::Native)?;
+    let (edge, listener) = set_up(terms, Dialect::Native)?;
     Ok(Running::begin(edge, listener))
 }
 
@@ -47,15 +47,15 @@
 /// # Errors
 /// If its address cannot be bound.
 pub fn start_on_platform(start: Start) -> io::Result<Running> {
-    let (known, terms) = (start.known.listed(), start.terms);
-    let (edge, listener) = prepare(terms, Dialect::Platform(dialect::Platform::new(start.known)))?;
+    let (known_nodes, terms) = (start.known.listed(), start.terms);
+    let (edge, listener) = set_up(terms, Dialect::Platform(dialect::Platform::new(start.known)))?;
     // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = start.news {
         let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
-        edge.tell(Input::News(&news), 0);
+        edge.dispatch(Input::News(&news), 0);
     }
-    if !known.is_empty() {
-        edge.tell(Input::Known(&known), 0);
+    if !known_nodes.is_empty() {
+        edge.dispatch(Input::Known(&known_nodes), 0);
     }
     Ok(Running::begin(edge, listener))
 }
@@ -69,7 +69,7 @@
     /// Notes that a new config was announced, whether or not it is valid: discovery counts as heard from
     /// sooner.
     pub fn reload_announced(&self) {
-        self.edge.tell(Input::Discovery(DiscoverySign::Reloaded), 0);
+        self.edge.dispatch(Input::Discovery(DiscoverySign::Reloaded), 0);
     }
 
     /// Applies a new config without a restart. No RPC in progress is lost or sent twice. If discovery or the
@@ -78,7 +78,7 @@
     /// # Errors
     /// Names what cannot change in a running marshal; the earlier config stays in force.
     pub fn renew(&self, terms: Terms) -> Result<(), String> {
-        self.renew_with(terms, None)
+        self.reload(terms, None)
     }
 
     /// Like [`Running::renew`], from the contents of the platform's file.
@@ -86,25 +86,25 @@
     /// # Errors
     /// As for [`Running::renew`].
     pub fn renew_on_platform(&self, start: Start) -> Result<(), String> {
-        self.renew_with(start.terms, Some(&start.known))
+        self.reload(start.terms, Some(&start.known))
     }
 
-    fn renew_with(&self, terms: Terms, known: Option<&Catalog>) -> Result<(), String> {
-        let (edge, new, limits) = (&self.edge, Live::of(&terms), terms.rollout.limits);
+    fn reload(&self, terms: Terms, known_nodes: Option<&Catalog>) -> Result<(), String> {
+        let (edge, new, limits) = (&self.edge, Settings::of(&terms), terms.rollout.limits);
         edge.core.lock().unwrap().renew(terms)?;
-        edge.pool.renew(&new.bounds, limits.idle_kept);
+        edge.pool.set_limits(&new.bounds, limits.idle_kept);
         // An RPC accepted under the earlier config may need its longer deadline.
-        let old = edge.live();
-        let longest = old.longest.max(new.longest);
-        *edge.live.lock().unwrap() = Live { longest, ..new.clone() };
+        let old = edge.settings();
+        let longest_deadline = old.longest_deadline.max(new.longest_deadline);
+        *edge.settings.lock().unwrap() = Settings { longest_deadline, ..new.clone() };
         let list = |p: &Places| (p.node_list, p.service.clone());
         if list(&old.places) != list(&new.places) || old.places.release_desk != new.places.release_desk {
-            edge.leave_places(|| {
-                if let (Some(platform), Some(known)) = (edge.dialect.platform(), known) {
-                    platform.catalog.lock().unwrap().moved(known);
+            edge.change_addresses(|| {
+                if let (Some(platform), Some(known_nodes)) = (edge.dialect.platform(), known_nodes) {
+                    platform.catalog.lock().unwrap().moved(known_nodes);
                 }
             });
-            edge.follow_all();
+            edge.rewatch_all();
         }
         Ok(())
     }
@@ -121,24 +121,24 @@
 
     /// Number of nodes known to be ready.
     pub fn nodes(&self) -> usize {
-        self.edge.ready()
+        self.edge.ready_nodes()
     }
 
     /// Stops accepting, finishes the RPCs in progress, and returns within the longest deadline. Returns true
     /// if nothing was left unfinished.
     pub fn stop(&self) -> bool {
-        self.edge.stop.store(true, Ordering::Release);
-        self.edge.tell(Input::Leaving, 0);
+        self.edge.shutdown_begun.store(true, Ordering::Release);
+        self.edge.dispatch(Input::Leaving, 0);
         // Clients that still connect are served and told to close.
         std::thread::sleep(self.edge.bounds().linger);
-        self.edge.close.store(true, Ordering::Release);
+        self.edge.closing.store(true, Ordering::Release);
         self.waker.wake();
-        let by = Instant::now() + self.edge.live().longest + Duration::from_millis(200);
-        while Instant::now() < by {
+        let deadline = Instant::now() + self.edge.settings().longest_deadline + Duration::from_millis(200);
+        while Instant::now() < deadline {
             // The order of these reads matters: a connection counts as open before the listener closes, and
             // stays open until the core holds nothing for it.
             let accepting = self.edge.accepting.load(Ordering::Acquire);
-            let open = self.edge.open.load(Ordering::Acquire);
+            let open = self.edge.open_connections.load(Ordering::Acquire);
             if !accepting && open == 0 && self.edge.counts().held == 0 {
                 return true;
             }
--- a/crates/edge/src/news.rs
+++ b/crates/edge/src/watch.rs
@@ -8,73 +8,75 @@
 use ivydrift_wire::{desk, list};
 
 use crate::dialect::Dialect;
-use crate::held::{FollowClaim, Held};
-use crate::query::{jitter, QueryClient, QueryError};
+use crate::query::{backoff, QueryClient, QueryError};
+use crate::services::{HeldService, WatchClaim};
 use crate::{membership, platform, Edge};
 use ivydrift_sockets::coroutine::{go, pause};
 
 /// The longest time for which the rollout controller holds a query.
-const DESK_WAIT: Duration = Duration::from_secs(5);
+const CONTROLLER_HOLD: Duration = Duration::from_secs(5);
 /// How much longer than its hold time a query may take before the server counts as unreachable.
-const SLACK: Duration = Duration::from_secs(2);
+const QUERY_SLACK: Duration = Duration::from_secs(2);
 /// A watcher that reports this much later than its call may take counts as stuck.
-pub const STUCK: Duration = Duration::from_secs(3);
+pub const STUCK_AFTER: Duration = Duration::from_secs(3);
 
 /// Watches the node list until a query fails; the core then decides when to ask again. Does nothing if the
 /// list is already being watched.
-pub fn follow_membership(edge: &Arc<Edge>, held: &Arc<Held>) {
-    let moves = edge.moves.load(Ordering::Acquire);
+pub fn watch_node_list(edge: &Arc<Edge>, held: &Arc<HeldService>) {
+    let address_generation = edge.address_generation.load(Ordering::Acquire);
     let hold = edge.bounds().list_hold;
-    let Some(claim) = held.claim(moves, hold + SLACK + STUCK) else { return };
+    let Some(claim) = held.claim(address_generation, hold + QUERY_SLACK + STUCK_AFTER) else { return };
     if edge.dialect.platform().is_some() {
-        return membership::follow(edge, claim, moves);
+        return membership::watch(edge, claim, address_generation);
     }
     let (edge, held) = (edge.clone(), held.clone());
     go(move || {
-        let why = match follow_native(&edge, &held, &claim, moves) {
+        let why = match watch_native(&edge, &held, &claim, address_generation) {
             Some(why) => why,
             None => return,
         };
         tracing::warn!(why, service = held.service.as_deref(), "node list lost");
         drop(claim);
-        edge.tell_of(held.of, Input::MembershipLost, 0);
+        edge.dispatch_for(held.service_id, Input::MembershipLost, 0);
     });
 }
 
 /// Returns why the list was lost, or `None` if nobody has to be told: the list has moved and is watched at
 /// its new address, the service is no longer held, or another coroutine has taken over.
-fn follow_native(edge: &Arc<Edge>, held: &Arc<Held>, claim: &FollowClaim, moves: u64) -> Option<String> {
-    let places = edge.live().places;
+fn watch_native(
+    edge: &Arc<Edge>, held: &Arc<HeldService>, claim: &WatchClaim, address_generation: u64,
+) -> Option<String> {
+    let places = edge.settings().places;
     let service = held.service.as_deref().unwrap_or(&places.service);
-    let mut client = QueryClient::on(&held.list, places.node_list, edge.number);
+    let mut client = QueryClient::with_handle(&held.discovery_query, places.node_list, edge.marshal);
     let mut index = 0;
     loop {
         let hold = edge.bounds().list_hold;
-        if !claim.extend(hold + SLACK + STUCK) {
+        if !claim.extend(hold + QUERY_SLACK + STUCK_AFTER) {
             return None;
         }
         let path = list::path(service, index, hold.as_secs());
-        let answer = client.send("GET", &path, b"", list::LIST_BYTES, hold + SLACK);
-        let read =
+        let answer = client.send("GET", &path, b"", list::LIST_BYTES, hold + QUERY_SLACK);
+        let parsed =
             answer.map_err(|e| e.to_string()).and_then(|reply| Ok((reply.index, list::read(&reply.body)?)));
-        let told = edge.unless_moved(moves, || {
-            let Ok((_, nodes)) = &read else { return };
+        let passed_on = edge.if_addresses_unchanged(address_generation, || {
+            let Ok((_, nodes)) = &parsed else { return };
             edge.read_wall_clock();
-            edge.tell_of(held.of, Input::Membership(nodes), 0);
-            let sign = DiscoverySign::Confirmed { as_of: edge.now(), next_within: hold + SLACK };
-            edge.tell_of(held.of, Input::Discovery(sign), 0);
+            edge.dispatch_for(held.service_id, Input::Membership(nodes), 0);
+            let event = DiscoverySign::Confirmed { as_of: edge.now(), next_within: hold + QUERY_SLACK };
+            edge.dispatch_for(held.service_id, Input::Discovery(event), 0);
         });
-        if told.is_none() || held.gone() {
+        if passed_on.is_none() || held.is_dropped() {
             return None;
         }
-        let at = match read {
-            Ok((at, _)) => at.unwrap_or(0),
+        let new_index = match parsed {
+            Ok((new_index, _)) => new_index.unwrap_or(0),
             Err(why) => return Some(why),
         };
-        edge.complain_of_list(held);
+        edge.log_rejected_nodes(held);
         // The index of a restarted list begins again at the front.
-        index = if at < index { 0 } else { at };
-        if at == 0 {
+        index = if new_index < index { 0 } else { new_index };
+        if new_index == 0 {
             pause(Duration::from_secs(1));
         }
     }
@@ -82,40 +84,41 @@
 
 /// Watches the rollout controller until it moves.
 #[cfg(test)]
-pub fn follow_desk(edge: &Arc<Edge>) {
-    follow_desk_of(edge, &edge.home);
+pub fn watch_home_controller(edge: &Arc<Edge>) {
+    watch_controller(edge, &edge.home);
 }
 
 /// Watches the rollout controller for one service until the controller moves or the service is no longer
 /// held.
-pub fn follow_desk_of(edge: &Arc<Edge>, held: &Arc<Held>) {
+pub fn watch_controller(edge: &Arc<Edge>, held: &Arc<HeldService>) {
     // Read here rather than in the coroutine: after two moves in a row, both coroutines would watch the
     // second address.
-    let (moves, desk) = (edge.moves.load(Ordering::Acquire), edge.live().places.release_desk);
+    let (address_generation, controller_addr) =
+        (edge.address_generation.load(Ordering::Acquire), edge.settings().places.release_desk);
     if edge.dialect.platform().is_some() {
-        return platform::follow_desk(edge, moves, desk);
+        return platform::watch_controller(edge, address_generation, controller_addr);
     }
     let (edge, held) = (edge.clone(), held.clone());
     go(move || {
-        let mut client = QueryClient::on(&held.desk, desk, edge.number);
+        let mut client = QueryClient::with_handle(&held.controller_query, controller_addr, edge.marshal);
         let (mut index, mut failures) = (0, 0);
         while !edge.stopping() {
-            let path = desk::path(index, DESK_WAIT.as_secs(), edge.number, held.service.as_deref());
-            let answer = client.send("GET", &path, b"", desk::NEWS_BYTES, DESK_WAIT + SLACK);
-            let read = answer.map_err(|e| e.to_string()).and_then(|reply| desk::read_news(&reply.body));
-            let told = edge.unless_moved(moves, || {
-                read.iter().for_each(|news| drop(edge.tell_of(held.of, Input::News(news), 0)));
+            let path = desk::path(index, CONTROLLER_HOLD.as_secs(), edge.marshal, held.service.as_deref());
+            let answer = client.send("GET", &path, b"", desk::NEWS_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
+            let parsed = answer.map_err(|e| e.to_string()).and_then(|reply| desk::read_news(&reply.body));
+            let passed_on = edge.if_addresses_unchanged(address_generation, || {
+                parsed.iter().for_each(|news| drop(edge.dispatch_for(held.service_id, Input::News(news), 0)));
             });
-            if told.is_none() || held.gone() {
-                return; // The desk has moved, and is followed there; or nobody needs it any more.
+            if passed_on.is_none() || held.is_dropped() {
+                return; // The controller is watched at its new address, or the service is no longer held.
             }
-            match read {
+            match parsed {
                 Ok(news) => {
                     failures = 0;
                     index = if news.index < index { 0 } else { news.index };
                 }
                 Err(why) => {
-                    let wait = jitter(Duration::from_millis(200), failures);
+                    let wait = backoff(Duration::from_millis(200), failures);
                     tracing::warn!(why, wait_ms = wait.as_millis() as u64, "release desk lost");
                     failures += 1;
                     pause(wait);
@@ -128,25 +131,25 @@
 /// This marshal's votes on one service. One vote is in flight at a time, because each has its own connection
 /// and a later vote could otherwise be counted first.
 #[derive(Default)]
-pub struct Votes {
+pub struct VoteQueue {
     /// A vote is in flight.
-    out: bool,
+    in_flight: bool,
     /// The latest vote that waits for the one in flight.
-    next: Option<desk::Vote>,
+    waiting: Option<desk::Vote>,
 }
 
 /// Casts a vote once no other is in flight. A waiting vote is replaced by a newer one, since only the last
 /// counts.
 #[cfg(test)]
-pub fn vote(edge: &Arc<Edge>, vote: desk::Vote) {
-    vote_of(edge, &edge.home, vote);
+pub fn cast_home_vote(edge: &Arc<Edge>, vote: desk::Vote) {
+    cast_vote(edge, &edge.home, vote);
 }
 
 /// Casts a vote on one service.
-pub fn vote_of(edge: &Arc<Edge>, held: &Arc<Held>, vote: desk::Vote) {
+pub fn cast_vote(edge: &Arc<Edge>, held: &Arc<HeldService>, vote: desk::Vote) {
     let mut votes = held.votes.lock().unwrap();
-    if std::mem::replace(&mut votes.out, true) {
-        votes.next = Some(vote);
+    if std::mem::replace(&mut votes.in_flight, true) {
+        votes.waiting = Some(vote);
         return;
     }
     drop(votes);
@@ -155,24 +158,24 @@
         let mut vote = vote;
         loop {
             let ballot = match &edge.dialect {
-                Dialect::Platform(_) => platform::vote(&edge, &vote),
-                Dialect::Native => cast(&edge, &held, &vote),
+                Dialect::Platform(_) => platform::send_vote(&edge, &vote),
+                Dialect::Native => send_vote(&edge, &held, &vote),
             };
             tracing::info!(?vote, ?ballot, service = held.service.as_deref(), "voted");
             let next = {
                 let mut votes = held.votes.lock().unwrap();
-                votes.out = votes.next.is_some();
-                votes.next.take()
+                votes.in_flight = votes.waiting.is_some();
+                votes.waiting.take()
             };
             let Some(later) = next else {
-                edge.tell_of(held.of, Input::Voted(ballot), 0);
+                edge.dispatch_for(held.service_id, Input::Voted(ballot), 0);
                 return;
             };
             // The core waits for the answer to a later vote, but what this answer says about the build is
             // still valid.
             if let Ballot::Answered(answer) = ballot {
                 let news = desk::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
-                edge.tell_of(held.of, Input::News(&news), 0);
+                edge.dispatch_for(held.service_id, Input::News(&news), 0);
             }
             vote = later;
         }
@@ -180,12 +183,12 @@
 }
 
 /// Sends one vote in the native dialect and returns its result.
-fn cast(edge: &Edge, held: &Held, vote: &desk::Vote) -> Ballot {
+fn send_vote(edge: &Edge, held: &HeldService, vote: &desk::Vote) -> Ballot {
     let service = held.service.as_deref().map(str::to_owned);
     let body = desk::write(&desk::ServiceVote { vote: *vote, service });
-    let live = edge.live();
-    let mut client = QueryClient::new(live.places.release_desk, edge.number);
-    let answer = client.send("POST", "/v1/votes", &body, desk::NEWS_BYTES, live.vote_wait);
+    let settings = edge.settings();
+    let mut client = QueryClient::new(settings.places.release_desk, edge.marshal);
+    let answer = client.send("POST", "/v1/votes", &body, desk::NEWS_BYTES, settings.vote_wait);
     match answer {
         Ok(reply) => match desk::read_vote_answer(&reply.body) {
             Ok(answer) => Ballot::Answered(answer),
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -15,29 +15,29 @@
 use may::io::WaitIoWaker;
 use may::sync::Semphore;
 
-use crate::pending::{Look, Pending};
+use crate::deadline::{Expiry, SharedDeadline};
 
 /// The longest time between two checks of a connection's timeout, so that a closed connection is soon
 /// released.
-const LONGEST: Duration = Duration::from_secs(5);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The read timeout of a connection. Its entry stays in the clock from one read to the next, so most reads
 /// need no entry of their own.
-pub(crate) struct Limit {
-    pending: Pending<AtomicU64>,
+pub(crate) struct ReadTimeout {
+    deadline_state: SharedDeadline<AtomicU64>,
     waker: WaitIoWaker,
 }
 
 /// What an expired entry wakes.
-enum Wakes {
-    Reader(Arc<Limit>),
+enum WakeTarget {
+    Reader(Arc<ReadTimeout>),
     Sleeper(Arc<Semphore>),
 }
 
 /// A timer; `at` is in nanoseconds since the clock's zero.
 struct Entry {
     at: u64,
-    wakes: Wakes,
+    target: WakeTarget,
 }
 
 impl PartialEq for Entry {
@@ -62,109 +62,109 @@
 
 /// The process-wide timer queue and its thread.
 struct Clock {
-    zero: Instant,
+    epoch: Instant,
     entries: Mutex<BinaryHeap<Reverse<Entry>>>,
     /// Notified when a new entry expires before all others.
-    earlier: Condvar,
+    rescheduled: Condvar,
 }
 
 impl Clock {
-    fn get() -> &'static Clock {
-        static CLOCK: OnceLock<Clock> = OnceLock::new();
-        static RUNS: OnceLock<()> = OnceLock::new();
-        let clock = CLOCK.get_or_init(|| Clock {
-            zero: Instant::now(),
+    fn global() -> &'static Clock {
+        static GLOBAL: OnceLock<Clock> = OnceLock::new();
+        static THREAD_STARTED: OnceLock<()> = OnceLock::new();
+        let clock = GLOBAL.get_or_init(|| Clock {
+            epoch: Instant::now(),
             entries: Mutex::default(),
-            earlier: Condvar::new(),
+            rescheduled: Condvar::new(),
         });
-        RUNS.get_or_init(|| {
+        THREAD_STARTED.get_or_init(|| {
             std::thread::spawn(|| clock.run());
         });
         clock
     }
 
-    fn nanos(&self, at: Instant) -> u64 {
-        at.saturating_duration_since(self.zero).as_nanos() as u64
+    fn nanos_since_epoch(&self, at: Instant) -> u64 {
+        at.saturating_duration_since(self.epoch).as_nanos() as u64
     }
 
-    fn add(&self, at: u64, wakes: Wakes) {
-        let first = {
+    fn add(&self, at: u64, target: WakeTarget) {
+        let is_earliest = {
             let mut entries = self.entries.lock().unwrap();
-            let first = entries.peek().is_none_or(|next| at < next.0.at);
-            entries.push(Reverse(Entry { at, wakes }));
-            first
+            let is_earliest = entries.peek().is_none_or(|next| at < next.0.at);
+            entries.push(Reverse(Entry { at, target }));
+            is_earliest
         };
-        if first {
-            self.earlier.notify_one();
+        if is_earliest {
+            self.rescheduled.notify_one();
         }
     }
 
     /// Wakes what has expired. Never returns.
     fn run(&self) {
-        let mut due = Vec::new();
+        let mut expired = Vec::new();
         loop {
-            let now = self.nanos(Instant::now());
+            let now = self.nanos_since_epoch(Instant::now());
             {
                 let mut entries = self.entries.lock().unwrap();
                 while entries.peek().is_some_and(|next| next.0.at <= now) {
-                    due.extend(entries.pop().map(|entry| entry.0.wakes));
+                    expired.extend(entries.pop().map(|entry| entry.0.target));
                 }
-                if due.is_empty() {
+                if expired.is_empty() {
                     let wait = entries.peek().map(|next| Duration::from_nanos(next.0.at - now));
                     drop(match wait {
-                        Some(wait) => self.earlier.wait_timeout(entries, wait).unwrap().0,
-                        None => self.earlier.wait(entries).unwrap(),
+                        Some(wait) => self.rescheduled.wait_timeout(entries, wait).unwrap().0,
+                        None => self.rescheduled.wait(entries).unwrap(),
                     });
                 }
             }
-            for wakes in due.drain(..) {
-                match wakes {
-                    Wakes::Sleeper(semaphore) => semaphore.post(),
-                    Wakes::Reader(limit) => self.look(limit, now),
+            for target in expired.drain(..) {
+                match target {
+                    WakeTarget::Sleeper(semaphore) => semaphore.post(),
+                    WakeTarget::Reader(timeout) => self.handle_expired(timeout, now),
                 }
             }
         }
     }
 
     /// Handles the expired entry of a connection.
-    fn look(&self, limit: Arc<Limit>, now: u64) {
-        match limit.pending.come_up(now) {
-            Look::Nothing => {}
-            Look::Late => limit.waker.wakeup(),
-            Look::Again(at) => self.enter(limit, at, now),
+    fn handle_expired(&self, timeout: Arc<ReadTimeout>, now: u64) {
+        match timeout.deadline_state.entry_expired(now) {
+            Expiry::NoRead => {}
+            Expiry::TimedOut => timeout.waker.wakeup(),
+            Expiry::Rearm(at) => self.add_read_timeout(timeout, at, now),
         }
     }
 
     /// Adds an entry for a connection's timeout.
-    fn enter(&self, limit: Arc<Limit>, at: u64, now: u64) {
-        let at = at.min(now + LONGEST.as_nanos() as u64);
-        limit.pending.entered(at);
-        self.add(at, Wakes::Reader(limit));
+    fn add_read_timeout(&self, timeout: Arc<ReadTimeout>, at: u64, now: u64) {
+        let at = at.min(now + MAX_CHECK_INTERVAL.as_nanos() as u64);
+        timeout.deadline_state.entry_added(at);
+        self.add(at, WakeTarget::Reader(timeout));
     }
 }
 
-impl Limit {
+impl ReadTimeout {
     pub(crate) fn new(waker: WaitIoWaker) -> Arc<Self> {
-        Arc::new(Limit { pending: Pending::default(), waker })
+        Arc::new(ReadTimeout { deadline_state: SharedDeadline::default(), waker })
     }
 
-    /// Wakes the read that begins now at `by`.
-    pub(crate) fn set(self: &Arc<Self>, by: Instant) {
-        let clock = Clock::get();
-        let at = clock.nanos(by);
-        if self.pending.begin(at) {
-            clock.enter(self.clone(), at, clock.nanos(Instant::now()));
+    /// Wakes the read that begins now at `deadline`.
+    pub(crate) fn arm(self: &Arc<Self>, deadline: Instant) {
+        let clock = Clock::global();
+        let at = clock.nanos_since_epoch(deadline);
+        if self.deadline_state.start_read(at) {
+            clock.add_read_timeout(self.clone(), at, clock.nanos_since_epoch(Instant::now()));
         }
     }
 
     /// Ends the read, and its timeout with it.
-    pub(crate) fn clear(&self) {
-        self.pending.end();
+    pub(crate) fn disarm(&self) {
+        self.deadline_state.end_read();
     }
 }
 
 /// Posts to the semaphore at the given time.
 pub fn post_at(at: Instant, semaphore: Arc<Semphore>) {
-    let clock = Clock::get();
-    clock.add(clock.nanos(at), Wakes::Sleeper(semaphore));
+    let clock = Clock::global();
+    clock.add(clock.nanos_since_epoch(at), WakeTarget::Sleeper(semaphore));
 }
--- a/crates/sockets/src/coroutine.rs
+++ b/crates/sockets/src/coroutine.rs
@@ -28,45 +28,45 @@
 }
 
 /// Coroutines that have begun and not ended.
-static ALIVE: AtomicUsize = AtomicUsize::new(0);
+static ALIVE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// Decrements `ALIVE` however the coroutine ends: may catches panics.
-struct Alive;
+/// Decrements `ALIVE_COUNT` however the coroutine ends: may catches panics.
+struct AliveGuard;
 
-impl Drop for Alive {
+impl Drop for AliveGuard {
     fn drop(&mut self) {
-        ALIVE.fetch_sub(1, Ordering::Relaxed);
+        ALIVE_COUNT.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Starts a coroutine.
 #[allow(unsafe_code)]
-pub fn go(work: impl FnOnce() + Send + 'static) {
-    ALIVE.fetch_add(1, Ordering::Relaxed);
-    let alive = Alive;
+pub fn go(body: impl FnOnce() + Send + 'static) {
+    ALIVE_COUNT.fetch_add(1, Ordering::Relaxed);
+    let alive = AliveGuard;
     let counted = move || {
         let _alive = alive;
-        work();
+        body();
     };
     // SAFETY: see the module documentation.
     let _detached = unsafe { may::coroutine::spawn(counted) };
 }
 
 /// Delay before a task that panicked is restarted.
-const BEGIN_AGAIN: Duration = Duration::from_millis(100);
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 /// Runs a task of the process until it returns. may silently drops a coroutine that panics; a task that
 /// nothing else would take over, such as accepting connections or running timers, is restarted instead. The
 /// panic itself has been reported by then.
-pub fn insist(mut duty: impl FnMut()) {
-    while catch_unwind(AssertUnwindSafe(&mut duty)).is_err() {
-        pause(BEGIN_AGAIN);
+pub fn restart_on_panic(mut task: impl FnMut()) {
+    while catch_unwind(AssertUnwindSafe(&mut task)).is_err() {
+        pause(RESTART_DELAY);
     }
 }
 
 /// Number of coroutines of this process that have not ended.
 pub fn alive() -> usize {
-    ALIVE.load(Ordering::Relaxed)
+    ALIVE_COUNT.load(Ordering::Relaxed)
 }
 
 /// Waits until the given time. On a thread that runs no coroutines this blocks the thread.
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -4,8 +4,8 @@
 
 mod clock;
 pub mod coroutine;
+mod deadline;
 mod listen;
-mod pending;
 mod socket;
 
 pub use listen::{listen, Listener, Waker};
--- a/crates/sockets/src/listen.rs
+++ b/crates/sockets/src/listen.rs
@@ -11,7 +11,7 @@
 use crate::socket::Socket;
 
 /// Length of the listen backlog.
-const QUEUE: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// Listens on an address exclusively. may's own bind sets SO_REUSEPORT, with which a second marshal on the
 /// same address would silently take a share of the clients.
@@ -22,7 +22,7 @@
     let socket = socket2::Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(QUEUE)?;
+    socket.listen(LISTEN_BACKLOG)?;
     #[allow(unsafe_code)]
     // SAFETY: the descriptor is an open listening socket, handed over here and used nowhere else.
     Ok(unsafe { TcpListener::from_raw_fd(socket.into_raw_fd()) })
--- a/crates/sockets/src/socket.rs
+++ b/crates/sockets/src/socket.rs
@@ -16,11 +16,11 @@
 use may::net::TcpStream;
 use socket2::{Domain, SockRef, Type};
 
-use crate::clock::Limit;
+use crate::clock::ReadTimeout;
 use crate::coroutine::pause;
 
 /// EINPROGRESS and EINTR: in both cases the connect continues.
-const GOES_ON: [i32; 2] = [115, 4];
+const CONNECT_IN_PROGRESS: [i32; 2] = [115, 4];
 
 /// ENFILE and EMFILE.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
@@ -34,7 +34,7 @@
 pub struct Socket {
     stream: TcpStream,
     look: Look,
-    limit: Arc<Limit>,
+    read_timeout: Arc<ReadTimeout>,
 }
 
 /// Access to a connection for coroutines other than its owner. Has no effect once the owner has closed it.
@@ -43,17 +43,17 @@
     fd: Arc<Mutex<Option<RawFd>>>,
     /// The connection was shut down: nothing more is read, since bytes that were read would count as
     /// accepted.
-    cut: Arc<AtomicBool>,
+    shut_down: Arc<AtomicBool>,
 }
 
-fn late() -> io::Error {
+fn timed_out() -> io::Error {
     ErrorKind::TimedOut.into()
 }
 
 impl Look {
     /// Whether the peer has closed or reset the connection, as far as that is visible behind unread bytes.
     pub fn left(&self) -> bool {
-        match self.with(|socket| socket.peek(&mut [MaybeUninit::uninit()])) {
+        match self.with_open(|socket| socket.peek(&mut [MaybeUninit::uninit()])) {
             None => true,
             Some(Ok(n)) => n == 0,
             Some(Err(e)) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
@@ -62,9 +62,9 @@
 
     /// Runs one non-blocking call on the connection, if it is open.
     #[allow(unsafe_code)]
-    fn with<T>(&self, call: impl FnOnce(SockRef) -> T) -> Option<T> {
-        let open = self.fd.lock().unwrap();
-        let fd = (*open)?;
+    fn with_open<T>(&self, call: impl FnOnce(SockRef) -> T) -> Option<T> {
+        let fd_slot = self.fd.lock().unwrap();
+        let fd = (*fd_slot)?;
         // SAFETY: the descriptor is open while it is stored here: `Socket` removes it, under this lock,
         // before its stream closes.
         let fd = unsafe { BorrowedFd::borrow_raw(fd) };
@@ -73,14 +73,14 @@
 
     /// Whether the connection is open and has no unread bytes, as an idle connection must.
     pub fn quiet(&self) -> bool {
-        let seen = self.with(|socket| socket.peek(&mut [MaybeUninit::uninit()]));
+        let seen = self.with_open(|socket| socket.peek(&mut [MaybeUninit::uninit()]));
         seen.is_some_and(|seen| seen.is_err_and(|e| e.kind() == ErrorKind::WouldBlock))
     }
 
     /// Shuts down both directions. A waiting read wakes up, and nothing more is read.
     pub fn cut(&self) {
-        self.cut.store(true, Ordering::Release);
-        self.with(|socket| socket.shutdown(Shutdown::Both));
+        self.shut_down.store(true, Ordering::Release);
+        self.with_open(|socket| socket.shutdown(Shutdown::Both));
     }
 }
 
@@ -96,39 +96,41 @@
         // Heads and answers are written in one piece; waiting to fill segments would only delay them.
         let _ = stream.set_nodelay(true);
         let fd = Arc::new(Mutex::new(Some(stream.inner().as_raw_fd())));
-        let look = Look { fd, cut: Arc::default() };
-        let limit = Limit::new(stream.waker());
-        Socket { stream, look, limit }
+        let look = Look { fd, shut_down: Arc::default() };
+        let read_timeout = ReadTimeout::new(stream.waker());
+        Socket { stream, look, read_timeout }
     }
 
     /// Opens a connection within the given time.
     ///
     /// # Errors
     /// As the connect fails, or `TimedOut`.
-    pub fn connect(to: SocketAddr, within: Duration) -> io::Result<Socket> {
-        let by = Instant::now() + within;
-        let raw = socket2::Socket::new(Domain::for_address(to), Type::STREAM, None)?;
-        raw.set_nonblocking(true)?;
-        let begun = raw.connect(&to.into());
-        if let Some(e) = begun.err().filter(|e| !e.raw_os_error().is_some_and(|code| GOES_ON.contains(&code)))
+    pub fn connect(to: SocketAddr, timeout: Duration) -> io::Result<Socket> {
+        let deadline = Instant::now() + timeout;
+        let new_socket = socket2::Socket::new(Domain::for_address(to), Type::STREAM, None)?;
+        new_socket.set_nonblocking(true)?;
+        let connecting = new_socket.connect(&to.into());
+        if let Some(e) = connecting
+            .err()
+            .filter(|e| !e.raw_os_error().is_some_and(|code| CONNECT_IN_PROGRESS.contains(&code)))
         {
             return Err(e);
         }
         #[allow(unsafe_code)]
         // SAFETY: the descriptor is an open socket, handed over here and used nowhere else.
-        let socket = Socket::new(unsafe { TcpStream::from_raw_fd(raw.into_raw_fd()) });
-        socket.limit.set(by);
+        let socket = Socket::new(unsafe { TcpStream::from_raw_fd(new_socket.into_raw_fd()) });
+        socket.read_timeout.arm(deadline);
         loop {
             let stream = socket.stream.inner();
             if let Some(e) = stream.take_error()? {
                 return Err(e);
             }
             if stream.peer_addr().is_ok() {
-                socket.limit.clear();
+                socket.read_timeout.disarm();
                 return Ok(socket);
             }
-            if Instant::now() >= by {
-                return Err(late());
+            if Instant::now() >= deadline {
+                return Err(timed_out());
             }
             socket.stream.wait_io();
         }
@@ -139,39 +141,40 @@
         self.look.clone()
     }
 
-    /// Reads available bytes, waiting until `by` for the first one.
+    /// Reads available bytes, waiting until `deadline` for the first one.
     ///
     /// # Errors
     /// As the read fails, or `TimedOut`.
-    pub fn read(&mut self, buf: &mut [u8], by: Option<Instant>) -> io::Result<usize> {
-        if let Some(by) = by {
-            self.limit.set(by);
+    pub fn read(&mut self, buf: &mut [u8], deadline: Option<Instant>) -> io::Result<usize> {
+        if let Some(deadline) = deadline {
+            self.read_timeout.arm(deadline);
         }
         let done = loop {
-            if self.look.cut.load(Ordering::Acquire) {
+            if self.look.shut_down.load(Ordering::Acquire) {
                 break Ok(0);
             }
             match self.stream.inner().read(buf) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     // Bytes that arrived before the deadline would have been read above.
-                    if by.is_some_and(|by| Instant::now() >= by) {
-                        break Err(late());
+                    if deadline.is_some_and(|deadline| Instant::now() >= deadline) {
+                        break Err(timed_out());
                     }
                     self.stream.wait_io();
                 }
                 done => break done,
             }
         };
-        self.limit.clear();
+        self.read_timeout.disarm();
         done
     }
 
-    /// Writes all bytes before `by`. An error carries the number of bytes that were handed to the kernel.
+    /// Writes all bytes before `deadline`. An error carries the number of bytes that were handed to the
+    /// kernel.
     ///
     /// # Errors
     /// As the write fails, or `TimedOut`.
-    pub fn write(&self, bytes: &[u8], by: Instant) -> Result<(), (usize, io::Error)> {
+    pub fn write(&self, bytes: &[u8], deadline: Instant) -> Result<(), (usize, io::Error)> {
         let (mut done, mut wait) = (0, Duration::from_micros(200));
         while done < bytes.len() {
             match self.stream.inner().write(&bytes[done..]) {
@@ -184,8 +187,8 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     // The peer reads slowly. Polls, since a coroutine that waits for buffer space would need
                     // exclusive access to the stream.
-                    if Instant::now() >= by {
-                        return Err((done, late()));
+                    if Instant::now() >= deadline {
+                        return Err((done, timed_out()));
                     }
                     pause(wait);
                     wait = (wait * 2).min(Duration::from_millis(10));
@@ -211,15 +214,15 @@
         self.look.cut();
     }
 
-    /// Closes the write side, then reads and discards for at most `within`: closing with unread bytes would
+    /// Closes the write side, then reads and discards for at most `timeout`: closing with unread bytes would
     /// reset the connection and lose the last answer (RFC 9112, section 9.6).
-    pub fn close_gently(&mut self, within: Duration) {
+    pub fn close_gently(&mut self, timeout: Duration) {
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let (by, mut sink) = (Instant::now() + within, [0; 4096]);
+        let (deadline, mut sink) = (Instant::now() + timeout, [0; 4096]);
         for _ in 0..4096 {
-            if !matches!(self.read(&mut sink, Some(by)), Ok(n) if n > 0) {
+            if !matches!(self.read(&mut sink, Some(deadline)), Ok(n) if n > 0) {
                 break;
             }
         }
