--- a/crates/commons/src/large.rs
+++ b/crates/commons/src/large.rs
@@ -1,5 +1,6 @@
-//! State too large for a record: its owner says version, length and digest in a section, and who wants it fetches it in
-//! pieces, along a tree that all agree on, so that no marshal sends more the more marshals there are.
+//! Distribution of state that is too large for a record. The owner publishes version, length and digest in a
+//! section of its record; marshals that want the state fetch it in pieces along a tree that all compute
+//! alike, so that the load of one marshal does not grow with their number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +9,31 @@
 use ivydrift_leases::Number;
 use serde::{Deserialize, Serialize};
 
-/// The largest state, and the bytes of one piece.
+/// Maximum size of a state.
 pub const STATE_BYTES: usize = 64 * 1024;
+/// Size of one piece.
 pub const PIECE_BYTES: usize = 1000;
-/// States held at once, our own among them: the one that was wanted first goes where there are more.
+/// Maximum number of states held, our own included; beyond it the state that was requested first is dropped.
 pub const STATES: usize = 16;
-/// Who asks one marshal directly, at most.
+/// Maximum number of marshals that fetch directly from one marshal.
 const FAN: usize = 4;
-/// Pieces asked for, and answered, in a second at most; as many may come together.
+/// Maximum rate of piece requests sent per second, and the maximum burst.
 const ASKED: f64 = 20.0;
+/// Maximum rate of pieces sent per second, and the maximum burst.
 const ANSWERED: f64 = 40.0;
-/// A question unanswered for so long is put again.
+/// Time-out after which an unanswered piece request is repeated.
 const AGAIN: Duration = Duration::from_millis(400);
-/// Who has answered nothing for so long is passed over for the one above it.
+/// A parent that has sent no piece for this long is skipped for the one above it.
 const SILENT: Duration = Duration::from_millis(2500);
 
-/// Whose state, and which of its states.
+/// Identifies a state: its owner, and which of the owner's states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
     pub owner: Number,
     pub id: u16,
 }
 
-/// What the owner says of a state, in a section of its record.
+/// What the owner publishes about a state, in a section of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     pub version: u32,
@@ -39,7 +42,7 @@
 }
 
 impl Notice {
-    /// None where it is too long.
+    /// The notice for these bytes; `None` if they are too long.
     pub fn of(version: u32, bytes: &[u8]) -> Option<Notice> {
         (bytes.len() <= STATE_BYTES).then(|| Notice {
             version,
@@ -59,26 +62,29 @@
     first
 }
 
+/// A message between marshals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
     Ask { key: Key, version: u32, piece: u16 },
     Piece { key: Key, version: u32, piece: u16, bytes: Vec<u8> },
 }
 
+/// A state, complete or being fetched.
 struct State {
     notice: Notice,
     pieces: Vec<Option<Vec<u8>>>,
-    /// All of it, once its digest was found right.
+    /// The complete state, once its digest has been verified.
     whole: Option<Vec<u8>>,
-    /// When each missing piece was asked for.
+    /// When each missing piece was last requested.
     asked: Vec<Option<Duration>>,
-    /// So many steps above the one next above us are asked, since then.
+    /// How many tree levels above the direct parent the requests go to, and since when.
     higher: usize,
     since: Duration,
+    /// Position in the order of requests.
     wanted: u64,
 }
 
-/// A store that fills with time.
+/// Token bucket.
 struct Store {
     left: f64,
     at: Duration,
@@ -94,7 +100,7 @@
     }
 }
 
-/// The states of one marshal: its own, and those that it wants of others.
+/// The states of one marshal: its own, and those that it fetches from others.
 pub struct States {
     me: Number,
     all: BTreeMap<Key, State>,
@@ -104,12 +110,14 @@
 }
 
 impl States {
+    /// No states yet.
     pub fn new(me: Number, now: Duration) -> Self {
         let store = |rate| Store { left: rate, at: now };
         States { me, all: BTreeMap::new(), asks: store(ASKED), answers: store(ANSWERED), count: 0 }
     }
 
-    /// Our own state from now on; what to say of it. None where it is too long, or where there are [`STATES`] of ours.
+    /// Sets our own state and returns the notice to publish; `None` if it is too long or if we already have
+    /// [`STATES`] of our own.
     pub fn offer(&mut self, now: Duration, id: u16, version: u32, bytes: &[u8]) -> Option<Notice> {
         let notice = Notice::of(version, bytes)?;
         let key = Key { owner: self.me, id };
@@ -125,7 +133,7 @@
         Some(notice)
     }
 
-    /// This state of another is wanted, as its owner says of it; an earlier version is dropped.
+    /// Starts to fetch another owner's state as its notice describes it; an earlier version is dropped.
     pub fn want(&mut self, now: Duration, key: Key, notice: Notice) {
         let known = self.all.get(&key).is_some_and(|s| s.notice == notice);
         if !known && key.owner != self.me && notice.length as usize <= STATE_BYTES {
@@ -147,13 +155,13 @@
         }
     }
 
-    /// A state, once all of it is here.
+    /// A state's version and bytes, once complete.
     pub fn get(&self, key: Key) -> Option<(u32, &[u8])> {
         let state = self.all.get(&key)?;
         state.whole.as_deref().map(|whole| (state.notice.version, whole))
     }
 
-    /// What to ask now. `marshals`: all there are by the terms; `present`: who takes part.
+    /// Piece requests to send now. `marshals`: all configured marshals; `present`: whether a marshal is up.
     pub fn beat(
         &mut self, now: Duration, marshals: &[Number], present: &dyn Fn(Number) -> bool,
     ) -> Vec<(Number, Word)> {
@@ -176,7 +184,7 @@
         out
     }
 
-    /// What to answer to a word of another.
+    /// Handles a message from another marshal; returns the answer to send, if any.
     pub fn hear(&mut self, now: Duration, word: Word) -> Option<Word> {
         match word {
             Word::Ask { key, version, piece } => {
@@ -203,7 +211,8 @@
                     if digest(&whole) == state.notice.digest {
                         state.whole = Some(whole);
                     } else {
-                        // Somebody on the way had it wrong: all anew, from the one above it.
+                        // A marshal on the way passed on wrong bytes: fetch everything again, from one level
+                        // higher.
                         state.pieces.fill(None);
                         state.asked.fill(None);
                         (state.higher, state.since) = (state.higher + 1, now);
@@ -215,8 +224,8 @@
     }
 }
 
-/// Whom to ask for a state, the nearest first, the owner last: the marshals that are present in the order of this key,
-/// the owner in front, as a tree.
+/// The marshals to fetch a state from, nearest first, the owner last. The tree consists of the owner at the
+/// root and the marshals that are present, in the order given by the key.
 fn above(me: Number, key: Key, marshals: &[Number], present: &dyn Fn(Number) -> bool) -> Vec<Number> {
     let others: Vec<Number> = marshals.iter().copied().filter(|n| *n != key.owner).collect();
     let group = u64::from(key.owner) << 16 | u64::from(key.id);
--- a/crates/commons/src/level.rs
+++ b/crates/commons/src/level.rs
@@ -1,32 +1,36 @@
-//! The level of speech of a fleet in which several programs run side by side: the lowest of those present. It goes down
-//! the moment that one comes who speaks less, and up only once none such has been present for a while.
+//! Protocol level of a fleet in which several program versions run side by side: the highest level that all
+//! present members support. It drops as soon as a member appears that supports less, and rises only after no
+//! such member has been present for a while.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The highest level that this program speaks, and the lowest. At 0 records have no sections; at 1 they have.
+/// The lowest and highest levels that this program supports. Records have no sections at level 0; they have
+/// sections at level 1.
 pub const SPOKEN: Speech = Speech { least: 0, most: 1 };
-/// For so long nobody may be present who speaks less, before the level goes up. Longer than a marshal takes to be told
-/// dead and to come back after a restart: an old one that is restarted brings nothing up and down again.
+/// How long no member of a lower level may be present before the level rises. It is longer than a restart
+/// takes, from the time a marshal is declared dead until it is back, so that restarting an old member does
+/// not raise and lower the level.
 pub const HOLD: Duration = Duration::from_secs(30);
 
-/// What a program speaks, in the section of that name.
+/// The range of levels that a program supports, as published in section [`crate::sections::SPEECH`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Speech {
     pub least: u8,
     pub most: u8,
 }
 
-/// What a program spoke that says nothing of it: there were no sections then.
+/// Range of a program that publishes none: such programs predate sections.
 const FIRST: Speech = Speech { least: 0, most: 0 };
 
 impl Speech {
+    /// Encodes the range for its section.
     pub fn write(self) -> Vec<u8> {
         vec![self.least, self.most]
     }
 
-    /// What a section says; a program that says nothing, or nothing that can be read, speaks the first level.
+    /// Decodes a section; if it is absent or malformed, the program supports only the first level.
     pub fn read(bytes: Option<&[u8]>) -> Speech {
         match bytes {
             Some([least, most, ..]) if least <= most => Speech { least: *least, most: *most },
@@ -35,33 +39,35 @@
     }
 }
 
+/// The protocol level currently in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Level {
     now: u8,
-    /// Since when all present could speak this higher level.
+    /// The higher level that all present members support, and since when.
     higher: Option<(u8, Duration)>,
-    /// Somebody present and we have no level in common.
+    /// A member is present with which we have no level in common.
     apart: bool,
 }
 
 impl Default for Level {
-    /// Nobody is known yet: the lowest that we speak.
+    /// No other member is known yet: the lowest level that this program supports.
     fn default() -> Self {
         Level { now: SPOKEN.least, higher: None, apart: false }
     }
 }
 
 impl Level {
+    /// The level to use.
     pub fn get(&self) -> u8 {
         self.now
     }
 
-    /// Somebody is present who speaks no level that we speak.
+    /// Whether a member is present that supports none of our levels.
     pub fn apart(&self) -> bool {
         self.apart
     }
 
-    /// `present`: what each other member speaks that is present. True where the level has changed.
+    /// Recomputes the level; true if it changed. `present`: the ranges of the other members that are present.
     pub fn step(&mut self, now: Duration, present: impl Iterator<Item = Speech>) -> bool {
         let mut all = SPOKEN;
         for other in present {
@@ -72,7 +78,7 @@
         if common <= self.now {
             (self.now, self.higher) = (common, None);
         } else {
-            // A lower one among them begins the wait anew, the same or a still higher one does not.
+            // A drop of the common level restarts the wait; an equal or higher common level does not.
             let since = self.higher.filter(|h| h.0 <= common).map_or(now, |h| h.1);
             self.higher = Some((common, since));
             if now >= since + HOLD {
--- a/crates/commons/src/lib.rs
+++ b/crates/commons/src/lib.rs
@@ -1,11 +1,12 @@
-//! The one seam for what marshals share; laws and reasons are in `docs/commons.md`.
+//! Formats of the data that marshals share; invariants and design reasons are in `docs/commons.md`.
 //!
-//! A member's record is its words about itself in the form that the first program had, and behind them a block of
-//! numbered [`sections`]. Who does not know the block reads the words and leaves the rest; records are passed on whole,
-//! so a section that nobody on the way knows arrives as it was. A section lapses by itself. How fleets of several
-//! programs speak with one another is settled by [`level`].
+//! A member's record starts with the data in the form that the first program version had, followed by a block
+//! of numbered [`sections`]. A version that does not know the block reads the first part and ignores the
+//! rest; records are passed on whole, so a section arrives unchanged even through members that do not know
+//! it. Each section expires by itself. [`level`] settles which protocol level a fleet of several program
+//! versions uses.
 //!
-//! No socket, clock or thread.
+//! The crate uses no socket, clock or thread.
 #![forbid(unsafe_code)]
 
 pub mod large;
--- a/crates/commons/src/sections.rs
+++ b/crates/commons/src/sections.rs
@@ -1,55 +1,58 @@
-//! Typed, numbered sections of a member's record, as bytes.
+//! Encoding of the typed, numbered sections of a member's record.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a section is about. A number is given once and for ever; others, of later programs, are kept and carried on.
+/// Section number of the supported protocol levels ([`crate::level::Speech`]). A section number is never
+/// reused; sections with unknown numbers, from later versions, are kept and passed on.
 pub const SPEECH: u16 = 0;
+/// Section number of the program's version.
 pub const PROGRAM: u16 = 1;
 
-/// The block begins with this: two bytes that end no earlier record, for those ended with their words.
+/// Marks the start of the block: no earlier record has these two bytes in that place, because such records
+/// ended with their first part.
 const MARK: [u8; 2] = [0xc0, 0x01];
-/// A record's bytes at most, the words in front of the block among them.
+/// Maximum size of a record, including the part in front of the block.
 pub const RECORD_BYTES: usize = 200;
-/// One section's bytes at most.
+/// Maximum size of one section.
 pub const SECTION_BYTES: usize = 120;
-/// Sections of one record at most.
+/// Maximum number of sections in a record.
 pub const SECTIONS: usize = 16;
 
+/// One section of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Section {
     pub id: u16,
     /// Counts up with each change, within a life of its owner.
     pub version: u32,
-    /// For how many milliseconds it counts from when a record with it came.
+    /// Validity in milliseconds, counted from the arrival of the record that carries it.
     pub valid: u32,
     pub bytes: Vec<u8>,
 }
 
-/// One member's sections, by their numbers.
+/// A member's sections, ordered by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sections {
     all: Vec<Section>,
 }
 
-/// Why a section was not taken in.
+/// Why a section was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Full {
-    /// It is longer than [`SECTION_BYTES`].
+    /// The section has this many bytes, more than [`SECTION_BYTES`].
     Long(usize),
-    /// The record would have so many bytes.
+    /// The record would have this many bytes, more than [`RECORD_BYTES`].
     Record(usize),
     /// There are [`SECTIONS`] already.
     Many,
 }
 
 impl Sections {
-    /// Puts a section in, or in place of what it said before; its version counts up where the bytes are others.
-    /// `front`: bytes of the words in front of the block.
+    /// Adds or replaces a section; its version counts up if the bytes differ. `front`: size of the record's
+    /// part in front of the block.
     ///
-    /// # Errors
-    /// Where it does not fit; then nothing has changed.
+    /// # Errors | If it does not fit; then nothing has changed.
     pub fn put(&mut self, id: u16, valid: Duration, bytes: &[u8], front: usize) -> Result<(), Full> {
         if bytes.len() > SECTION_BYTES {
             return Err(Full::Long(bytes.len()));
@@ -79,16 +82,17 @@
         self.all.retain(|s| s.id != id);
     }
 
-    /// A section, where its record came less than its time ago.
+    /// A section, if it is still valid at this age of its record.
     pub fn get(&self, id: u16, age: Duration) -> Option<&Section> {
         self.all.iter().find(|s| s.id == id && age < Duration::from_millis(s.valid.into()))
     }
 
+    /// All sections in order of their numbers, expired ones included.
     pub fn iter(&self) -> impl Iterator<Item = &Section> {
         self.all.iter()
     }
 
-    /// The block; no byte where there is no section.
+    /// Encodes the block; empty if there is no section.
     pub fn write(&self) -> Vec<u8> {
         if self.all.is_empty() {
             return Vec::new();
@@ -98,8 +102,8 @@
         bytes
     }
 
-    /// What stands behind a record's words; none where that is no block: a program of before there were any wrote it, or
-    /// it is spoilt. What can be read in front of a spoilt section counts.
+    /// Decodes the block behind a record's first part. `None` if there is no block: the record is of a
+    /// version without sections, or damaged. Sections in front of a damaged one are kept.
     pub fn read(bytes: &[u8]) -> Option<Sections> {
         let mut rest = bytes.strip_prefix(&MARK)?;
         let mut all: Vec<Section> = Vec::new();
@@ -163,7 +167,7 @@
         assert_eq!(Sections::read(&bytes).unwrap().write(), bytes, "carried on as it was");
         let cut = Sections::read(&bytes[..bytes.len() - 1]).unwrap();
         assert_eq!(cut.iter().map(|s| s.id).collect::<Vec<_>>(), [SPEECH]);
-        // No block: as every record of the first program ended.
+        // No block, as at the end of every record of the first program version.
         assert_eq!((Sections::read(&[]), Sections::read(&bytes[1..])), (None, None));
     }
 
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,12 +1,14 @@
-//! Moves of traffic between zones as decisions of the fleet; the laws and the reasons are in `docs/failover.md`.
+//! Failover of traffic between zones, decided by the fleet as a whole; invariants and design reasons are in
+//! `docs/failover.md`.
 //!
-//! The marshals of a zone speak through the tree of their group to its steward ([`ivydrift_leases`]). The steward decides
-//! how far the zone's traffic leaves ([`course`]) by what many marshals see ([`sight`]), and asks the stewards of other
-//! zones for room. Room is lent for a short time and by voices: each marshal gives its voice, and with it its part
-//! of its zone's room, to one steward at a time, so that stewards which do not know of one another never lend the
-//! same room twice. What was lent goes down the tree as leases.
+//! The marshals of a zone report through the tree of their group to its leader ([`ivydrift_leases`]). The
+//! leader decides which fraction of the zone's traffic leaves ([`course`]) from what many marshals observe
+//! ([`sight`]), and asks the leaders of other zones for spare capacity. Spare capacity is leased for a short
+//! time and by votes: each marshal gives its vote, and with it its share of its zone's spare capacity, to one
+//! leader at a time, so that leaders which do not know of each other never lease the same capacity twice.
+//! What was leased goes down the tree as leases.
 //!
-//! No socket, clock or thread, and no clock of one machine is compared with another's.
+//! The crate uses no socket, clock or thread, and never compares the clocks of two machines.
 #![forbid(unsafe_code)]
 
 pub mod course;
@@ -23,71 +25,76 @@
 use message::{Message, Move, Told, ZONES};
 use sight::{Sight, Sights};
 
-/// The part of a zone's capacity that is used for its own clients, and up to which room is lent to others.
+/// Fraction of a zone's capacity that its own clients may use, and up to which spare capacity is leased to
+/// others.
 const BEARS: [f32; 2] = [0.85, 0.8];
-/// The part of a zone's capacity that is sent there before any of it has been answered.
+/// Fraction of a zone's capacity that is used before any RPC sent there has been answered.
 const UNSEEN: f32 = 0.25;
-/// Far zones are asked once near ones have left so much of the demand without a place, for so long.
+/// Far zones are asked once near ones have left this fraction of the demand unplaced for this long.
 const LACKING: (f32, Duration) = (0.02, Duration::from_millis(750));
 
-/// What a marshal is told of its place.
+/// A marshal's place in the fleet.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub me: Number,
     /// Grows from start to start.
     pub life: u64,
+    /// The zone of this marshal.
     pub zone: usize,
-    /// The marshals of each zone, by the terms: the dead among them too.
+    /// The configured marshals of each zone, the dead included.
     pub marshals: Vec<Vec<Number>>,
-    /// Steps from this zone to each: 0 itself, 1 in its region, 2 farther.
+    /// Distance from this zone to each: 0 itself, 1 in the same region, 2 farther.
     pub distance: Vec<u8>,
-    /// How long a cold node takes to be warm.
+    /// Warm-up time of a cold node.
     pub warm: Duration,
-    /// Who speaks through one marshal directly at most; [`FAN`] but for tests of deep trees.
+    /// Maximum number of marshals that report directly to one; [`FAN`] except in tests of deep trees.
     pub fan: usize,
 }
 
-/// What a marshal sees at a beat.
+/// A marshal's observations at a tick.
 #[derive(Clone, Debug, Default)]
 pub struct Look {
-    /// RPCs a second that its clients bring.
+    /// RPCs per second from its clients.
     pub demand: f32,
+    /// Its observation of each zone.
     pub zones: Vec<Sight>,
 }
 
+/// An action that [`Failover`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
-    Send {
-        to: Number,
-        bytes: Vec<u8>,
-    },
-    /// For the log: a change of the move, with its reason.
+    /// A datagram to send.
+    Send { to: Number, bytes: Vec<u8> },
+    /// A log line about a stage change, with its reason.
     Said(String),
 }
 
 /// What this marshal may do now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
+    /// Failover stage of the zone.
     pub stage: Stage,
-    /// The part of the zone's traffic that is to leave it.
+    /// Fraction of the zone's traffic that is to leave it.
     pub part: f32,
-    /// RPCs a second that this marshal may send to each other zone.
+    /// RPCs per second that this marshal may send to each other zone.
     pub rates: Vec<f32>,
 }
 
-/// A steward that we ask for room.
+/// The leader of another zone that we ask for spare capacity.
 #[derive(Default)]
 struct Source {
+    /// The marshal that we ask, and since when.
     asked: Option<(Number, Duration)>,
+    /// When it last answered.
     heard: Option<Duration>,
     version: u32,
     rate: f32,
     until: Duration,
-    /// The version that those who speak through us use at most.
+    /// The lease version that our subtree keeps to.
     holds: u32,
 }
 
-/// A steward that asks us.
+/// The leader of another zone that asks us.
 struct Asker {
     zone: usize,
     life: u32,
@@ -97,16 +104,20 @@
     seen: Duration,
 }
 
+/// One marshal's part in the failover of its zone.
 pub struct Failover {
     site: Site,
-    /// Our zone's marshals and we among them; a lot for each zone.
+    /// The tree of our zone's marshals, this one included; each zone is a resource of its leases.
     tree: Tree<Told, Move>,
     /// The marshals of each zone in the order that all agree on.
     order: Vec<Vec<Number>>,
+    /// Failover state of our zone, while we lead it.
     course: Course,
     sources: Vec<Source>,
+    /// Since when near zones have left demand unplaced.
     lacking: Option<Duration>,
     askers: BTreeMap<Number, Asker>,
+    /// What we leased to other zones' leaders.
     lent: Ledger,
     out: Vec<Out>,
 }
@@ -116,7 +127,8 @@
 }
 
 impl Failover {
-    /// None where there is but one zone, more than [`ZONES`], or the terms do not say where this marshal is.
+    /// `None` if there is only one zone, if there are more than [`ZONES`], or if the configuration does not
+    /// place this marshal.
     pub fn new(site: Site, now: Duration) -> Option<Self> {
         let zones = site.marshals.len();
         let known = site.marshals.get(site.zone)?.contains(&site.me) && site.distance.len() == zones;
@@ -148,8 +160,8 @@
         self.tree.life()
     }
 
-    /// What this marshal may do now: `part` of its RPCs leave, as far as `rates` have a place for them, and the rest
-    /// of that part is pushed back. A plan that lapsed long ago says that all stays near.
+    /// What this marshal may do now: `part` of its RPCs leave as far as `rates` allow, and the rest of that
+    /// part is pushed back. Once the last plan is too old, all traffic stays local.
     pub fn plan(&self, now: Duration) -> Plan {
         let rates = self.tree.own(now);
         let (stage, part) = match (self.tree.speaks_to(), self.tree.told(now)) {
@@ -160,18 +172,18 @@
         Plan { stage, part, rates }
     }
 
-    /// To whom this marshal speaks; none where it is its zone's steward, as far as it knows.
+    /// The marshal that this one reports to; `None` if it is its zone's leader as far as it knows.
     pub fn speaks_to(&self) -> Option<Number> {
         self.tree.speaks_to()
     }
 
-    /// To be called every [`BEAT`]. `present`: who takes part, as membership has it.
+    /// Advances the state; to be called every [`BEAT`]. `present`: whether membership sees a marshal as up.
     pub fn beat(&mut self, now: Duration, look: &Look, present: &dyn Fn(Number) -> bool) -> Vec<Out> {
         self.askers.retain(|_, a| now < a.seen + FRESH);
         self.lent.tidy(now);
         let turn = self.tree.beat(now, present);
         if turn.took_over {
-            // The new steward goes on where the zone was.
+            // A new leader continues from the zone's current stage.
             let told = self.tree.last_told();
             (self.course.stage, self.course.part) = (message::stage(told.stage), told.part);
         }
@@ -194,7 +206,8 @@
         std::mem::take(&mut self.out)
     }
 
-    // ---- the steward -----------------------------------------------------------------------------------------
+    // ---- leader
+    // ----------------------------------------------------------------------------------------------
 
     fn decide(&mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool) {
         let home = sights[self.site.zone];
@@ -208,8 +221,8 @@
             let (from, to, part) = (before.word(), stage.word(), 100.0 * self.course.part);
             let (bears, seen) = (bears.unwrap_or(0.0), home.whole().unwrap_or(1.0));
             self.out.push(Out::Said(format!(
-                "zone {}: {from} to {to}, {part:.0}% is to leave: clients bring {demand:.1} RPCs/s, its nodes bear \
-                 {bears:.1}, {:.0}% of picks there are answered as {} marshals see it",
+                "zone {}: {from} to {to}, {part:.0}% of traffic to leave: demand {demand:.1} RPCs/s, its nodes \
+                 can take {bears:.1}, {:.0}% of picks answered as observed by {} marshals",
                 self.site.zone,
                 100.0 * seen,
                 home.witnesses(),
@@ -219,15 +232,16 @@
         self.grant(now, demand, &home);
     }
 
-    /// Asks other zones for room, near ones first, and holds what they gave as far as we see room there ourselves.
+    /// Asks other zones for spare capacity, near ones first, and uses what they granted as far as we observe
+    /// spare capacity there ourselves.
     fn seek(&mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool) {
         let zones = self.order.len();
         let mut byway: Vec<usize> = (0..zones).filter(|z| *z != self.site.zone).collect();
         byway.sort_by_key(|z| self.site.distance[*z]);
         let want = demand * self.course.part;
-        // A zone that says ten times its room by mistake is not believed beyond what we see there.
+        // A zone that by mistake reports ten times its spare capacity is believed only up to what we observe.
         let believed = |z: usize| {
-            // Before any of ours has been answered there we go by the list, and feel our way.
+            // Until the first of our RPCs has been answered there, go by the node list and start low.
             let first = sights[z].bears(UNSEEN).unwrap_or(0.0);
             let seen = sights[z].room(BEARS[0]).map_or(first, |room| sights[z].sent + room.max(0.0));
             let source = &self.sources[z];
@@ -239,7 +253,7 @@
         };
         let (mut left, mut rates, mut until) = (want, vec![0.0; zones], now + LEASE);
         for far in 1..=2 {
-            // What is equally far takes a like part of what it gave.
+            // Zones at the same distance take equal fractions of what they granted.
             let like: Vec<usize> = byway.iter().copied().filter(|z| self.site.distance[*z] == far).collect();
             let given: f32 = like.iter().map(|z| believed(*z)).sum();
             let part = if given > left { left / given } else { 1.0 };
@@ -279,7 +293,7 @@
             let fits = |n: &&Number| present(**n) && !self.tree.is_passed_over(**n);
             let Some(&to) = self.order[z].iter().find(fits) else { continue };
             if source.asked.is_none_or(|a| a.0 != to) {
-                // Another lends: what the one before it gave is gone by itself, and is not used beside.
+                // Another leader grants now: the earlier grant expires by itself and is not used beside it.
                 (source.asked, source.heard) = (Some((to, now)), None);
                 (source.version, source.holds) = (0, 0);
             }
@@ -289,15 +303,15 @@
         }
     }
 
-    /// Lends our zone's room to those who ask: what they use already, and of the room that is left the part that
-    /// our voices are of all the zone's marshals.
+    /// Leases our zone's spare capacity to the leaders that ask: what they already use, and of the remainder
+    /// the share that our votes are of all the zone's marshals.
     fn grant(&mut self, now: Duration, demand: f32, home: &Sights) {
         if self.askers.is_empty() {
             return;
         }
         let weight = self.tree.lend_by_voices(now);
         let using: f32 = self.askers.iter().map(|(n, a)| a.using.min(self.lent.held(*n))).sum();
-        // Our own clients that are away come first.
+        // Our own clients whose traffic is away come first.
         let away = demand * self.course.part;
         let room = home.room(BEARS[1]).map_or(f32::MIN, |room| room - away);
         let total = if room == f32::MIN {
@@ -307,9 +321,11 @@
         } else {
             using + weight * room
         };
-        // Never more than the nodes there now bear beside our own: of nodes that are gone none are busy.
+        // Never more than the remaining nodes bear beside our own traffic: nodes that are gone do not count
+        // as busy.
         let total = total.min((home.bears(BEARS[1]).unwrap_or(0.0) - home.sent).max(0.0));
-        // Near askers first; among equals the smaller wish first, each up to an equal part of what is left.
+        // Near zones first; at equal distance the smaller wish first, each up to an equal share of the
+        // remainder.
         let mut order: Vec<Number> = self.askers.keys().copied().collect();
         let key = |n: &Number| {
             let a = &self.askers[n];
@@ -333,8 +349,10 @@
         }
     }
 
-    // ---- hearing ---------------------------------------------------------------------------------------------
+    // ---- received messages
+    // -----------------------------------------------------------------------------------
 
+    /// Handles a datagram from another marshal; a malformed one is ignored.
     pub fn hear(&mut self, now: Duration, from: Number, bytes: &[u8]) {
         let Some(message) = Message::read(bytes) else { return };
         let at = |stamp: u64, span: u32| Duration::from_millis(stamp.saturating_add(span.into()));
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -1,4 +1,4 @@
-//! What marshals say to one another of moves, as bytes; anything malformed is dropped.
+//! Wire format of the messages between marshals about failover; a malformed message is dropped.
 
 use ivydrift_leases::words::{Down, Up};
 use serde::{Deserialize, Serialize};
@@ -6,53 +6,56 @@
 use crate::course::Stage;
 use crate::sight::Sights;
 
-/// Zones at most: a message fits a datagram.
+/// Maximum number of zones, so that a message fits a datagram.
 pub const ZONES: usize = 16;
 
-/// What is told up a zone's tree: what the sender and all that speak through it see and want.
+/// Body of a report up a zone's tree: demand and observations of the sender and its subtree.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Told {
+    /// RPCs per second.
     pub demand: f32,
+    /// Observations of each zone.
     pub sights: Vec<Sights>,
 }
 
-/// And down: how the zone moves, see [`code`].
+/// Body of a message down a zone's tree: the zone's failover stage, see [`code`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Move {
+    /// The stage's code.
     pub stage: u8,
+    /// Fraction of the zone's traffic that is to leave.
     pub part: f32,
 }
 
-/// A stamp is the sender's own clock and comes back as it is: nobody compares clocks.
+/// A message between marshals. A time stamp is read from the sender's own clock and returned unchanged, so
+/// clocks are never compared.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
+    /// A report up a zone's tree.
     Up(Up<Told>),
+    /// A message down a zone's tree.
     Down(Down<Move>),
-    /// From one zone's steward to another's.
+    /// From one zone's leader to another's: requests a lease of spare capacity.
     Ask {
         life: u32,
         stamp: u64,
         zone: u16,
         wish: f32,
-        /// What all that speak through the steward send there now.
+        /// RPCs per second that the asking zone now sends there.
         using: f32,
         holds: u32,
     },
-    Grant {
-        echo: u64,
-        of: u32,
-        zone: u16,
-        version: u32,
-        rate: f32,
-        valid: u32,
-    },
+    /// The answer to [`Message::Ask`]: a lease.
+    Grant { echo: u64, of: u32, zone: u16, version: u32, rate: f32, valid: u32 },
 }
 
 impl Message {
+    /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
+    /// Decodes a message; `None` if it is malformed or holds a value out of range.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let read: Message = postcard::from_bytes(bytes).ok()?;
         let fine = |x: f32| x.is_finite() && x >= 0.0;
@@ -68,6 +71,7 @@
     }
 }
 
+/// The stage of a code; an unknown code counts as [`Stage::Back`].
 pub fn stage(code: u8) -> Stage {
     match code {
         0 => Stage::Near,
@@ -76,6 +80,7 @@
     }
 }
 
+/// The code of a stage in [`Move`].
 pub fn code(stage: Stage) -> u8 {
     stage as u8
 }
--- a/crates/failover/src/sight.rs
+++ b/crates/failover/src/sight.rs
@@ -1,25 +1,28 @@
-//! What marshals see of a zone, summed over many of them so that no single one decides.
+//! Observations of a zone, aggregated over many marshals so that no single one decides.
 
 use serde::{Deserialize, Serialize};
 
-/// One marshal's own sight of a zone, now.
+/// One marshal's current observation of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sight {
-    /// What its ready nodes can do by the list, in nodes of power 1; cold ones count as what they bear now.
+    /// Capacity of its ready nodes by the node list, in nodes of power 1; cold nodes count with their current
+    /// capacity.
     pub capacity: f32,
-    /// Seconds of a node of power 1 that an RPC takes there, and the part of that capacity that is busy, as nodes
-    /// report them; none where they do not, or none was heard lately.
+    /// Seconds of a node of power 1 that an RPC takes there, as the nodes report it; `None` without a recent
+    /// report.
     pub cost: Option<f32>,
+    /// Fraction of that capacity that is busy, as the nodes report it; `None` without a recent report.
     pub busy: Option<f32>,
-    /// The part of the picks there that was answered, of those that ended lately; none where there were too few.
+    /// Fraction of the recently ended picks there that were answered; `None` if there were too few.
     pub whole: Option<f32>,
-    /// RPCs a second sent there, over the last second or longer.
+    /// RPCs per second sent there, over at least the last second.
     pub sent: f32,
 }
 
-/// A mean with its weight.
+/// A mean, as a sum and its weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Mean {
+    /// The weight.
     pub n: f32,
     pub sum: f32,
 }
@@ -34,22 +37,23 @@
         (self.n, self.sum) = (self.n + other.n, self.sum + other.sum);
     }
 
+    /// The mean; `None` without weight.
     pub fn get(&self) -> Option<f32> {
         (self.n > 0.0 && self.sum.is_finite()).then(|| self.sum / self.n)
     }
 }
 
-/// Parts answered, in so many equal bins; the last is all of them.
+/// Number of equal bins for the answered fraction; the last bin means all were answered.
 const BINS: usize = 6;
 
-/// The sights of many marshals.
+/// Aggregated observations of many marshals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sights {
     pub capacity: Mean,
     pub cost: Mean,
     pub busy: Mean,
     pub sent: f32,
-    /// How many see which part answered.
+    /// Histogram of the answered fraction, by number of marshals.
     whole: [u16; BINS],
 }
 
@@ -77,19 +81,19 @@
         self.whole.iter_mut().zip(other.whole).for_each(|(a, b)| *a = a.saturating_add(b));
     }
 
-    /// How many said anything of its answers.
+    /// Number of marshals that reported an answered fraction.
     pub fn witnesses(&self) -> u16 {
         self.whole.iter().fold(0, |a, b| a.saturating_add(*b))
     }
 
-    /// The part answered, as the marshal in the middle sees it: one with a bad link moves it little. None where
-    /// fewer than two marshals say anything: one alone cannot tell its link from the zone.
+    /// Median of the answered fraction, on which one marshal with a bad link has little effect. `None` if
+    /// fewer than two marshals report it: a single one cannot tell its own link from the zone.
     pub fn whole(&self) -> Option<f32> {
         let all = self.witnesses();
         if all < 2 {
             return None;
         }
-        // Of an even number the better one: a trouble must be seen by more than half.
+        // For an even number, the better of the two middle values: more than half must observe a fault.
         let mut left = all / 2;
         let bin = self.whole.iter().position(|n| {
             let here = left < *n;
@@ -99,13 +103,14 @@
         Some(bin.unwrap_or(BINS - 1) as f32 / (BINS - 1) as f32)
     }
 
-    /// RPCs a second that the zone can take, at the given part of its capacity.
+    /// RPCs per second that the zone can take at the given fraction of its capacity.
     pub fn bears(&self, part: f32) -> Option<f32> {
         let cost = self.cost.get().filter(|c| *c > 0.0)?;
         Some(part * self.capacity.get()? * self.whole().unwrap_or(1.0) / cost)
     }
 
-    /// RPCs a second that it could take beside what it has, up to the given part.
+    /// RPCs per second that the zone can take beside its current load, up to the given fraction of its
+    /// capacity.
     pub fn room(&self, part: f32) -> Option<f32> {
         let cost = self.cost.get().filter(|c| *c > 0.0)?;
         let capacity = self.capacity.get()?;
--- a/crates/failover/tests/world/mod.rs
+++ b/crates/failover/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! Zones with clients, nodes and marshals in virtual time. Traffic is a flow: each marshal sends what its plan says,
-//! nodes are as busy as all of it makes them. Between marshals go datagrams that are late, lost, repeated or cut.
+//! Simulation of zones with clients, nodes and marshals in virtual time. Traffic is a flow: each marshal
+//! sends what its plan says, and the sum determines how busy nodes are. Datagrams between marshals may be
+//! late, lost, duplicated or cut off.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, VecDeque};
@@ -22,17 +23,21 @@
 
 pub const STEP: Duration = Duration::from_millis(50);
 pub const WARM: Duration = Duration::from_secs(5);
-/// Power-seconds that an RPC costs.
+/// Power-seconds per RPC.
 pub const COST: f32 = 0.06;
 pub struct ZoneState {
     pub power: f32,
-    /// Part of the nodes that is there, and since when it is more than before (cold).
+    /// Fraction of the nodes that is up.
     pub up: f32,
+    /// Cold nodes: when they came up, and their fraction.
     cold: Vec<(Duration, f32)>,
-    /// The list still says that all are ready.
+    /// Its nodes do not answer although the node list shows all as ready.
     pub silent: bool,
+    /// RPCs per second in total.
     pub load: f32,
+    /// RPCs per second from other zones' clients.
     pub guests: f32,
+    /// RPCs per second from its own clients.
     pub own: f32,
 }
 
@@ -41,9 +46,9 @@
     pub life: u64,
     pub alive: bool,
     pub still: bool,
-    /// A bug that makes it say so many times the capacity that its zone has.
+    /// Factor by which a faulty marshal overstates its zone's capacity.
     pub lies: f32,
-    /// Its own links to nodes are bad: it sees every zone ill.
+    /// Its own links to nodes are bad: it observes failures in every zone.
     pub ill_links: bool,
     core: Option<Failover>,
     sent: Vec<f32>,
@@ -54,13 +59,14 @@
     waiting: Vec<(Number, Vec<u8>)>,
 }
 
-/// Who decides where traffic goes: this crate, or a naive fleet to hold it against.
+/// Who decides where traffic goes: this crate, or an uncoordinated fleet to compare with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arm {
     Common,
-    /// Each marshal leaves as soon as it sees its zone ill itself, and is back as soon as the list calls it whole.
+    /// Each marshal leaves its zone as soon as it observes failures there, and returns as soon as the node
+    /// list shows it healthy.
     Each,
-    /// A fifth of each zone's traffic goes to the others always.
+    /// A fifth of each zone's traffic always goes to the others.
     Static,
 }
 
@@ -74,20 +80,21 @@
     pub repeats: f64,
     pub delay: [Duration; 2],
     pub cut: Cut,
-    /// As a cut, but membership still calls both present.
+    /// As `cut`, but membership still sees both as present.
     pub deaf: Cut,
     pub fan: usize,
     pub arm: Arm,
-    /// What all nodes together could have served, by whoever sees all.
+    /// What all nodes together could have served with ideal distribution.
     pub could: f64,
-    /// Membership tells of a death or a cut so much later.
+    /// Delay with which membership reports a death or a cut.
     pub noticed: Duration,
     pub regions: Vec<usize>,
-    /// How old the list is.
+    /// Age of the node list that marshals see.
     pub list_lag: Duration,
     pub log: Vec<(Duration, Number, String)>,
-    /// The utility served and brought, summed.
+    /// Total traffic served, in RPCs.
     pub served: f64,
+    /// Total demand, in RPCs.
     pub brought: f64,
     pub sent_bytes: u64,
     capacities: BTreeMap<Duration, Vec<f32>>,
@@ -96,14 +103,14 @@
     posted: u64,
     rng: Pcg64,
     grants: BTreeMap<(Number, Number), Vec<(f32, Duration)>>,
-    /// Room beside its own clients in each zone, at each step of the last four seconds.
+    /// Capacity left beside each zone's own clients, at each step of the last four seconds.
     rooms: Vec<VecDeque<f32>>,
-    /// The part of its capacity that counts for that.
+    /// Fraction of the capacity that counts for `rooms`.
     pub bears: f32,
 }
 
 impl World {
-    /// `zones`: the part of its capacity that each zone's own clients need.
+    /// `zones`: each zone's demand as a fraction of its capacity.
     pub fn new(zones: &[f32], marshals: usize, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let power = 12.0;
@@ -118,7 +125,7 @@
         };
         let count = zones.len();
         let ones = (0..marshals).map(|n| {
-            // One in four brings little.
+            // One in four marshals has little demand.
             let weight = |n: usize| [0.2, 1.2, 1.3, 1.3][n / count % 4];
             let all: f32 = (0..marshals).filter(|m| m % count == n % count).map(weight).sum();
             let demand = zones[n % count] * power / COST * weight(n) / all;
@@ -200,7 +207,7 @@
         (one.alive, one.core, one.life) = (false, None, one.life + 1);
     }
 
-    /// What the zone can do now: cold nodes begin at 0.4 of what they will.
+    /// Current capacity of a zone: cold nodes start at 0.4 of their full capacity.
     pub fn capacity(&self, z: usize) -> f32 {
         let zone = &self.zones[z];
         let cold: f32 = zone.cold.iter().map(|(at, part)| part * 0.6 * (1.0 - self.warmth(*at))).sum();
@@ -211,7 +218,7 @@
         ((self.now.saturating_sub(since)).as_secs_f32() / WARM.as_secs_f32()).min(1.0)
     }
 
-    /// So many of the zone's nodes are there from now on.
+    /// Sets the fraction of the zone's nodes that is up.
     pub fn set_up(&mut self, z: usize, up: f32) {
         let now = self.now;
         let zone = &mut self.zones[z];
@@ -232,13 +239,13 @@
         all.map(|n| self.plan(n).part).collect()
     }
 
-    /// The most room that a zone had beside its own clients in the last four seconds, and the datagrams' delay: what is
-    /// lent lapses by then.
+    /// The most capacity left beside the zone's own clients during the last four seconds plus the datagram
+    /// delay: all leases expire by then.
     pub fn room_lately(&self, z: usize) -> f32 {
         self.rooms[z].iter().copied().fold(0.0, f32::max)
     }
 
-    /// What a zone's stewards have said that they lend, for as long as they said: of each to each the most.
+    /// What a zone's leaders have granted and is still valid: for each pair of marshals the largest grant.
     pub fn lent(&self, z: usize) -> f32 {
         let zone = |n: &Number| self.zone_of(usize::from(*n));
         let ours = self.grants.iter().filter(|((from, _), _)| zone(from) == z);
@@ -248,7 +255,7 @@
         ours.map(|(_, all)| most(all)).sum()
     }
 
-    /// It speaks to nobody, and so for its zone.
+    /// Whether the marshal reports to no other and so leads its zone.
     pub fn steward(&self, n: usize) -> bool {
         self.ones[n].core.as_ref().is_some_and(|c| c.speaks_to().is_none())
     }
@@ -315,7 +322,7 @@
             let home = self.zone_of(n);
             let plan = self.plan(n);
             let one = &mut self.ones[n];
-            // A stopped process sends nothing; a dead one's clients have gone to nobody.
+            // A paused process sends nothing; the clients of a dead one are gone.
             let demand = if one.alive && !one.still { one.demand } else { 0.0 };
             let mut left = demand * plan.part;
             one.sent.fill(0.0);
@@ -329,7 +336,7 @@
                 };
                 left -= one.sent[z];
             }
-            // What is to leave and has no place is pushed back.
+            // Traffic that is to leave but has no place is pushed back.
             left = if self.arm == Arm::Common { left } else { 0.0 };
             one.sent[home] = (demand - left - one.sent.iter().sum::<f32>()).max(0.0);
             for z in 0..count {
--- a/crates/leases/src/ledger.rs
+++ b/crates/leases/src/ledger.rs
@@ -1,11 +1,12 @@
-//! Rates lent to others for a short time, so that what all holders may use together never exceeds what there is to
-//! lend, though news of a lease may be late, lost or repeated.
+//! Rates leased to others for a short time. The sum of what all holders may use never exceeds the total, even
+//! if messages about leases are late, lost or duplicated.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::Number;
 
+/// A rate leased to one holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Lease {
     version: u32,
@@ -13,23 +14,25 @@
     until: Duration,
 }
 
-/// What one lender has lent to whom. A holder may use the largest of its leases that have not lapsed, until it says
-/// which one it holds: then all earlier ones are void.
+/// The leases of one lender. A holder may use the largest of its leases that have not expired, until it
+/// confirms which version it uses; that voids all earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     leases: BTreeMap<Number, Vec<Lease>>,
 }
 
-/// Leases of one holder at once; with more it must wait until one lapses. More than lapse in the longest span at one a
-/// beat, or who is slow to confirm would be lent nothing now and then.
+/// Maximum number of concurrent leases of one holder; at the limit it waits until one expires. The limit
+/// exceeds the number of leases issued, one per tick, during the longest lease term; otherwise a holder that
+/// is slow to confirm would at times get nothing.
 const MOST: usize = 16;
 
 impl Ledger {
+    /// Whether no lease is recorded.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Forgets what has lapsed.
+    /// Drops expired leases.
     pub fn tidy(&mut self, now: Duration) {
         self.leases.retain(|_, all| {
             all.retain(|l| now < l.until);
@@ -37,7 +40,7 @@
         });
     }
 
-    /// The holder says that it uses this version, or a later one.
+    /// The holder confirms that it uses this version or a later one.
     pub fn confirm(&mut self, holder: Number, version: u32) {
         if let Some(all) = self.leases.get_mut(&holder) {
             if all.iter().any(|l| l.version == version) {
@@ -46,27 +49,29 @@
         }
     }
 
-    /// What this holder may use at most.
+    /// The maximum rate that this holder may be using.
     pub fn held(&self, holder: Number) -> f32 {
         let all = self.leases.get(&holder).into_iter().flatten();
         all.map(|l| l.rate).fold(0.0, f32::max)
     }
 
-    /// What all holders may use together at most.
+    /// The maximum rate that all holders together may be using.
     pub fn lent(&self) -> f32 {
         self.leases.keys().map(|h| self.held(*h)).sum()
     }
 
-    /// Lends anew to all these holders at once, each up to its wish and all together up to `total`; what each got.
+    /// Renews the leases of all these holders, each up to its wish and all together up to `total`; returns
+    /// each one's rate.
     ///
-    /// Nobody's lease grows but by what is not lent to anybody yet. One that does not grow adds nothing to what may be
-    /// used, so that a total which shrinks makes all smaller alike instead of leaving the first ones with nothing.
+    /// A lease grows only by rate that is not leased to anybody. A lease that does not grow adds nothing to
+    /// the maximum in use, so a shrinking total reduces all leases in proportion instead of leaving the first
+    /// ones with nothing.
     pub fn lend(
         &mut self, now: Duration, version: u32, wishes: &[(Number, f32)], total: f32, until: Duration,
     ) -> Vec<f32> {
         self.tidy(now);
         let sum: f32 = wishes.iter().map(|w| w.1.max(0.0)).sum();
-        // Who is not among these may go on with its newest lease.
+        // Holders that are not in this call may go on with their newest lease.
         let absent = self.leases.iter().filter(|(h, _)| wishes.iter().all(|w| w.0 != **h));
         let theirs: f32 = absent.filter_map(|(_, all)| all.last()).map(|l| l.rate).sum();
         let rest = (total - theirs).max(0.0);
@@ -126,8 +131,8 @@
     }
 
     proptest! {
-        /// Holders that hear some leases, late or never, and use the newest that they have heard and that has not
-        /// lapsed by then, never use more together than the largest total of the last lease span.
+        /// Holders receive some leases late or never and use the newest received one that has not expired.
+        /// Together they never use more than the largest total of the last lease term.
         #[test]
         fn all_holders_together_stay_within_the_total(
             steps in proptest::collection::vec(
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,14 +1,16 @@
-//! What many marshals may use together, lent for a short time and by voices.
+//! Leases on a capacity that many marshals share, granted for a short time by votes.
 //!
-//! The marshals of a group stand in one order. Each speaks, through a tree of bounded width, to the first that is there:
-//! the group's steward for now. With what it says it gives its *voice* for a stated span, to one at a time; a voice is
-//! worth one part of the whole by all the group's marshals, the dead among them. So stewards which do not know of one
-//! another, on two sides of a cut, never lend the same part twice. What a steward may lend goes down the tree by
-//! [`ledger`]s: a holder may use the largest of its leases that have not lapsed, until it says which one it uses.
+//! The marshals of a group have one fixed order. Each reports, through a tree of bounded fan-out, to the
+//! first marshal in that order that is up: the group's current leader. With a report a marshal gives its
+//! *vote* (`voices` on the wire) for a stated duration, to one leader at a time; a vote is worth one share of
+//! the whole, divided by the number of all the group's marshals, the dead included. Two leaders that do not
+//! know of each other, on the two sides of a partition, therefore never lease the same share twice. What a
+//! leader may lease out goes down the tree through [`ledger`]s: a holder may use the largest of its leases
+//! that have not expired, until it confirms which one it uses.
 //!
-//! No socket, clock or thread, and no clock of one machine is compared with another's: a stamp is its sender's and
-//! comes back as it was. What is lent, and what is told on the way, is the user's: rates of any number of lots, and a
-//! body for each direction.
+//! The crate uses no socket, clock or thread, and never compares the clocks of two machines: a time stamp is
+//! read only by its sender, which gets it back unchanged. The caller defines what is leased (rates of any
+//! number of resources) and what the messages carry (a body for each direction).
 #![forbid(unsafe_code)]
 
 pub mod ledger;
@@ -21,26 +23,28 @@
 use ledger::Ledger;
 use words::{Down, Up};
 
-/// A marshal, by its place in the terms.
+/// A marshal, by its index in the configuration.
 pub type Number = u16;
 
-/// Everybody speaks this often.
+/// Interval between the ticks of every marshal.
 pub const BEAT: Duration = Duration::from_millis(250);
-/// Who speaks through one marshal directly at most, where nothing else is told: what one sends a beat does not grow
-/// with the fleet.
+/// Default maximum number of marshals that report directly to one: what a marshal sends per tick does not
+/// grow with the fleet.
 pub const FAN: usize = 16;
-/// How long what is lent between groups, and a lease within one, holds at most.
+/// Maximum term of a lease between groups.
 pub const GRANT: Duration = Duration::from_millis(2500);
+/// Maximum term of a lease within a group.
 pub const LEASE: Duration = Duration::from_millis(2000);
-/// A marshal that hears no more from its steward keeps to what it was told last for so long, but uses nothing by it.
+/// How long a marshal that hears no more from its leader keeps to the last instruction; its leases have
+/// expired by then.
 pub const KEPT: Duration = Duration::from_millis(3000);
-/// For how long a voice is given beside the steward, and how much longer with each step away from it.
+/// Duration of a vote given directly to the leader, and the addition for each further tree level.
 const PROMISE: [Duration; 2] = [Duration::from_millis(3500), Duration::from_millis(1000)];
-/// Longer than any promise of an earlier life.
+/// How long a new life gives no vote: longer than any vote of an earlier life lasts.
 const NEWBORN: Duration = Duration::from_secs(7);
-/// Who has not answered for so long is passed over, for so long.
+/// Time after which a marshal that does not answer is skipped, and for how long it is skipped.
 pub const SILENT: [Duration; 2] = [Duration::from_millis(1100), Duration::from_secs(10)];
-/// What a marshal last said counts for so long.
+/// How long a marshal's last report counts.
 pub const FRESH: Duration = Duration::from_millis(1100);
 
 /// A marshal's place in a group.
@@ -49,17 +53,17 @@
     pub me: Number,
     /// Grows from start to start.
     pub life: u32,
-    /// Tells this group's order from others'.
+    /// The group's identity, which determines the order of its marshals.
     pub group: u64,
-    /// All its marshals by the terms: the dead among them too.
+    /// All configured marshals of the group, the dead included.
     pub marshals: Vec<Number>,
-    /// Who speaks through one marshal directly at most; [`FAN`] but for tests of deep trees.
+    /// Maximum number of marshals that report directly to one; [`FAN`] except in tests of deep trees.
     pub fan: usize,
-    /// How many lots are lent.
+    /// Number of resources that are leased.
     pub lots: usize,
 }
 
-/// A lease that we hold, ourselves and for those who speak through us.
+/// The lease that we hold for ourselves and our subtree.
 #[derive(Clone, Debug, Default)]
 struct Held<D> {
     of: u32,
@@ -69,51 +73,59 @@
     body: D,
 }
 
+/// The marshal that we report to.
 struct Parent {
     number: Number,
-    /// Its latest stamp, and its life.
+    /// Its latest time stamp, and its life.
     nonce: u64,
     life: u32,
     since: Duration,
     heard: Option<Duration>,
 }
 
+/// A marshal that reports to us.
 struct Child<U> {
     life: u32,
+    /// Its latest time stamp.
     stamp: u64,
     seen: Duration,
-    /// Until when its voices are ours.
+    /// Until when its votes are ours.
     ours: Duration,
     voices: u16,
     body: U,
 }
 
-/// How a beat found us.
+/// Result of a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
-    /// To whom we speak; none where we are the steward, as far as we know.
+    /// The marshal that we report to; `None` if we are the leader as far as we know.
     pub to: Option<Number>,
-    /// We have become the steward at this beat.
+    /// Whether we became the leader at this tick.
     pub took_over: bool,
 }
 
-/// One marshal in the tree of its group. `U`: what is told on the way up, `D`: on the way down.
+/// One marshal in the tree of its group. `U` is the body of reports up the tree, `D` that of messages down
+/// the tree.
 pub struct Tree<U, D> {
     place: Place,
     order: Vec<Number>,
     begun: Duration,
     version: u32,
+    /// Number of tree levels below the leader.
     depth: u32,
     parent: Option<Parent>,
-    /// Our voice, and those that we passed on, are given to this one until then; we ourselves may be it.
+    /// The marshal to which our vote and those we passed on are given, which may be ourselves, and until
+    /// when.
     promised: (Number, Duration),
+    /// Marshals that are skipped, and until when.
     passed_over: BTreeMap<Number, Duration>,
     children: BTreeMap<Number, Child<U>>,
     held: Held<D>,
-    /// The version of `held` that all behind us keep to, and of which life of the lender.
+    /// The version of `held` that our whole subtree keeps to, with the life of the lender.
     holds: (u32, u32),
-    /// What we lent within the group, by lot.
+    /// What we leased out within the group, by resource.
     ledgers: Vec<Ledger>,
+    /// The rates that we ourselves may use, and until when.
     own: (Vec<f32>, Duration),
 }
 
@@ -125,18 +137,18 @@
     Duration::from_millis(stamp.saturating_add(span.into()))
 }
 
-/// Who is spoken to since then has not answered for too long.
+/// Whether a marshal that was addressed from `since` on has not answered for too long.
 pub fn silent(now: Duration, since: Duration, heard: Option<Duration>) -> bool {
     now > heard.map_or(since, |at| at.max(since)) + SILENT[0]
 }
 
-/// For how long a voice is given, so many steps from the steward.
+/// How long a vote is given at this depth of the tree.
 fn promise(depth: u32) -> Duration {
     PROMISE[0] + PROMISE[1] * depth.saturating_sub(1)
 }
 
 impl<U, D: Clone + Default> Tree<U, D> {
-    /// None where the group does not have this marshal.
+    /// `None` if the group does not contain this marshal.
     pub fn new(place: Place, now: Duration) -> Option<Self> {
         if !place.marshals.contains(&place.me) {
             return None;
@@ -147,7 +159,7 @@
             version: 0,
             depth: 0,
             parent: None,
-            // An earlier life may have given our voice away.
+            // An earlier life may have given our vote away.
             promised: (Number::MAX, now + NEWBORN),
             passed_over: BTreeMap::new(),
             children: BTreeMap::new(),
@@ -159,16 +171,17 @@
         })
     }
 
+    /// This marshal's life.
     pub fn life(&self) -> u32 {
         self.place.life
     }
 
-    /// Counts the beats; each lease bears that of its beat.
+    /// Number of ticks so far; each lease carries the number of its tick.
     pub fn version(&self) -> u32 {
         self.version
     }
 
-    /// To whom we speak; none where we are the steward, as far as we know.
+    /// The marshal that we report to; `None` if we are the leader as far as we know.
     pub fn speaks_to(&self) -> Option<Number> {
         self.parent.as_ref().map(|p| p.number)
     }
@@ -178,7 +191,7 @@
         &self.order
     }
 
-    /// What we ourselves may use now, by lot: nothing where it has lapsed.
+    /// The rates that we ourselves may use now, by resource; zero once expired.
     pub fn own(&self, now: Duration) -> Vec<f32> {
         if now < self.own.1 {
             self.own.0.clone()
@@ -187,26 +200,28 @@
         }
     }
 
-    /// What was last told down the tree, as long as it is kept to.
+    /// The last instruction from up the tree, as long as it is to be kept to.
     pub fn told(&self, now: Duration) -> Option<&D> {
         (now < self.held.until + KEPT).then_some(&self.held.body)
     }
 
-    /// The same, however long ago: a new steward goes on where the group was.
+    /// The last instruction, however old: a new leader continues from it.
     pub fn last_told(&self) -> &D {
         &self.held.body
     }
 
-    /// Somebody who did not answer is looked past for a while.
+    /// Skips a marshal that did not answer for a while.
     pub fn pass_over(&mut self, now: Duration, number: Number) {
         self.passed_over.insert(number, now + SILENT[1]);
     }
 
+    /// Whether the marshal is being skipped.
     pub fn is_passed_over(&self, number: Number) -> bool {
         self.passed_over.contains_key(&number)
     }
 
-    /// To be called first at every [`BEAT`]. `present`: who takes part, as membership has it.
+    /// Advances the state; to be called first at every [`BEAT`]. `present`: whether membership sees a marshal
+    /// as up.
     pub fn beat(&mut self, now: Duration, present: &dyn Fn(Number) -> bool) -> Turn {
         self.version += 1;
         self.passed_over.retain(|_, until| now < *until);
@@ -230,20 +245,21 @@
     }
 
     fn follow(&mut self, now: Duration, to: Option<Number>) {
-        // What we held was lent by another; those behind us may use it until it lapses, and that is counted.
+        // Our lease came from another lender. Our subtree may use its leases until they expire; the ledgers
+        // still count them.
         (self.held, self.own.1) = (Held { body: self.held.body.clone(), ..Held::default() }, now);
         self.holds = (0, 0);
         self.parent = to.map(|number| Parent { number, nonce: 0, life: 0, since: now, heard: None });
     }
 
-    /// What those who speak through us said lately.
+    /// The recent reports of our direct children in the tree.
     pub fn below(&self, now: Duration) -> impl Iterator<Item = &U> {
         self.children.values().filter(move |c| now < c.seen + FRESH).map(|c| &c.body)
     }
 
-    /// The voices that we can pass on, or lend by, our own among them.
+    /// The votes that we can pass on or lease by, our own included.
     pub fn voices(&self, now: Duration) -> u16 {
-        // A voice is passed on, or lent by, only where it is ours for longer than that.
+        // A vote may be passed on or used only if it remains ours for longer than that takes.
         let needed = if self.parent.is_some() { promise(self.depth) } else { GRANT };
         let theirs = self.children.values().filter(|c| c.ours >= now + needed).map(|c| c.voices);
         let to = self.speaks_to().unwrap_or(self.place.me);
@@ -255,13 +271,13 @@
         }
     }
 
-    /// What we say to the one above us, with our voices; none where we are the steward.
+    /// Our report to our parent, with our votes; `None` if we are the leader.
     pub fn up(&mut self, now: Duration, body: U) -> Option<(Number, Up<U>)> {
         let voices = self.voices(now);
         let parent = self.parent.as_ref()?;
         let (to, echo, of) = (parent.number, parent.nonce, parent.life);
         let promise = promise(self.depth);
-        // Who was never heard cannot tell when we spoke, and may not count a voice.
+        // A parent we never heard from gave us no time stamp to echo, and so must not count our votes.
         let voices = if echo == 0 { 0 } else { voices };
         if voices > 0 {
             self.promised = (to, self.promised.1.max(now + promise));
@@ -274,20 +290,21 @@
         Some((to, Up { life, stamp, echo, of, promise, voices, holds, body }))
     }
 
-    /// All that we lent of a lot, ourselves included, is within what we hold.
+    /// Whether all that we leased out of a resource, our own use included, is within what we hold.
     pub fn fits(&self, lot: usize) -> bool {
         self.ledgers[lot].lent() <= self.held.rates.get(lot).copied().unwrap_or(0.0) + 1e-3
     }
 
-    // ---- the steward -----------------------------------------------------------------------------------------
+    // ---- leader
+    // ----------------------------------------------------------------------------------------------
 
-    /// The steward says what it holds, until when, and what is told down the tree.
+    /// Sets what the leader holds, until when, and the instruction to send down the tree.
     pub fn hold(&mut self, rates: Vec<f32>, until: Duration, body: D) {
         self.held = Held { of: 0, version: self.version, rates, until, body };
     }
 
-    /// The part of the whole that the steward may lend for [`GRANT`] from now on, by its voices. They are bound for so
-    /// long: what is lent by our voice now must have lapsed before another lends by it.
+    /// Fraction of the whole that the leader may lease out for [`GRANT`] from now on, by its votes. Its own
+    /// vote is bound for that long: what is leased by it must have expired before another leader uses it.
     pub fn lend_by_voices(&mut self, now: Duration) -> f32 {
         let voices = self.voices(now);
         if voices > 0 {
@@ -296,9 +313,10 @@
         (f32::from(voices) / self.order.len().max(1) as f32).min(1.0)
     }
 
-    // ---- down the tree ---------------------------------------------------------------------------------------
+    // ---- down the tree
+    // ---------------------------------------------------------------------------------------
 
-    /// Lends on what we hold, to ourselves and to those who speak through us, by their weights.
+    /// Leases out what we hold, to ourselves and to our children, in proportion to their weights.
     pub fn share(&mut self, now: Duration, own: f32, weight: impl Fn(&U) -> f32) -> Vec<(Number, Down<D>)> {
         let me = self.place.me;
         let newborn = now < self.begun + LEASE;
@@ -326,7 +344,8 @@
                 self.own = (rates, until);
             } else if let Some(child) = self.children.get(&holder) {
                 let (echo, of, life, stamp) = (child.stamp, child.life, self.life(), ms(now));
-                // Counted from when the child spoke, which lies before now: it ends before we count it ended.
+                // The validity counts from when the child sent its report, which is before now: the lease
+                // ends at the child before it ends in our ledger.
                 let (version, valid) = (self.version, ms(until.saturating_sub(now)) as u32);
                 let body = self.held.body.clone();
                 sends.push((holder, Down { life, stamp, echo, of, version, valid, rates, body }));
@@ -335,16 +354,17 @@
         sends
     }
 
-    // ---- hearing ---------------------------------------------------------------------------------------------
+    // ---- received messages
+    // -----------------------------------------------------------------------------------
 
-    /// Words of one who speaks through us.
+    /// Handles a report from a child.
     pub fn hear_up(&mut self, now: Duration, from: Number, up: Up<U>) {
         let Up { life, stamp, echo, of, promise, voices, holds, body } = up;
         let newer = self.children.get(&from).is_none_or(|c| c.life != life || c.stamp < stamp);
         if !self.order.contains(&from) || !newer || from == self.place.me {
             return;
         }
-        // Its word holds from when it spoke, which was after it had our stamp.
+        // The vote counts from when the child sent it, which was after it had received our time stamp.
         let echoed = of == self.life() && echo > 0 && Duration::from_millis(echo) <= now;
         let before = self.children.get(&from).filter(|c| c.life == life).map(|c| c.ours);
         let ours = if echoed && voices > 0 { at(echo, promise) } else { before.unwrap_or_default() };
@@ -352,7 +372,7 @@
         self.children.insert(from, Child { life, stamp, seen: now, ours, voices, body });
     }
 
-    /// Words of the one we speak to.
+    /// Handles a message from our parent.
     pub fn hear_down(&mut self, now: Duration, from: Number, down: Down<D>) {
         let (lots, mine, lease_of) = (self.place.lots, self.place.life, self.held.of);
         let Some(parent) = self.parent.as_mut().filter(|p| p.number == from) else { return };
--- a/crates/leases/src/order.rs
+++ b/crates/leases/src/order.rs
@@ -1,8 +1,8 @@
-//! The order of a group's marshals that all agree on, without a word.
+//! The order of a group's marshals, which every marshal computes alike without communication.
 
 use crate::Number;
 
-/// The same in every program; spreads stewards over the numbers.
+/// A hash that is the same in every version; spreads the leaders of different groups over the marshals.
 fn lot(group: u64, number: Number) -> u64 {
     let mut x = group << 32 ^ u64::from(number) ^ 0x9e37_79b9_7f4a_7c15;
     for _ in 0..3 {
@@ -11,7 +11,7 @@
     x ^ x >> 29
 }
 
-/// These marshals in the order of this group.
+/// Sorts the marshals into this group's order.
 pub fn order(group: u64, marshals: &[Number]) -> Vec<Number> {
     let mut all = marshals.to_vec();
     all.sort_by_key(|n| (lot(group, *n), *n));
@@ -29,7 +29,7 @@
         assert_eq!(order(3, &all), order(3, &back));
         let firsts: std::collections::BTreeSet<Number> = (0..20).map(|g| order(g, &all)[0]).collect();
         assert!(firsts.len() > 8, "{firsts:?}");
-        // Programs that differ must agree: this may never change.
+        // Different program versions must agree: this order must never change.
         assert_eq!(order(1, &[0, 1, 2, 3]), [1, 3, 0, 2]);
     }
 }
--- a/crates/leases/src/words.rs
+++ b/crates/leases/src/words.rs
@@ -1,34 +1,47 @@
-//! What marshals of a group say to one another. Spans are in milliseconds; a stamp is the sender's own clock and comes
-//! back as it is: nobody compares clocks.
+//! Messages between the marshals of a group. Durations are in milliseconds. A time stamp is read from the
+//! sender's own clock and returned unchanged, so clocks are never compared.
 
 use serde::{Deserialize, Serialize};
 
-/// To who is nearer the steward, with what the sender and all that speak through it have to say.
+/// A report to the parent in the tree, on behalf of the sender and its subtree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Up<U> {
+    /// The sender's life.
     pub life: u32,
+    /// The sender's time stamp.
     pub stamp: u64,
-    /// The latest stamp of the receiver, and of which of its lives.
+    /// The receiver's latest time stamp.
     pub echo: u64,
+    /// The receiver's life to which `echo` belongs.
     pub of: u32,
-    /// Since the sender gave its word with this message, it and those behind it give it to no other for so long.
+    /// How long the sender and its subtree give their votes to no other, counted from when this message was
+    /// sent.
     pub promise: u32,
+    /// Number of votes given with this message.
     pub voices: u16,
-    /// The version of the lease that it and those behind it use.
+    /// The version of the lease that the sender and its subtree use.
     pub holds: u32,
+    /// The caller's part of the report.
     pub body: U,
 }
 
-/// Back: what the receiver, with all that speak through it, may use of each lot.
+/// The answer to a report: what the child and its subtree may use of each resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Down<D> {
+    /// The sender's life.
     pub life: u32,
+    /// The sender's time stamp.
     pub stamp: u64,
+    /// The receiver's time stamp in the report that this answers.
     pub echo: u64,
+    /// The receiver's life to which `echo` belongs.
     pub of: u32,
+    /// The version of this lease.
     pub version: u32,
-    /// From when the message that this answers was sent.
+    /// Validity, counted from when the report that this answers was sent.
     pub valid: u32,
+    /// The leased rate of each resource.
     pub rates: Vec<f32>,
+    /// The caller's part of the message.
     pub body: D,
 }
--- a/crates/leases/tests/laws.rs
+++ b/crates/leases/tests/laws.rs
@@ -1,5 +1,5 @@
-//! One lot of 100 lent in a group by voices, in virtual time, with faults between its marshals: whatever happens, all of
-//! them together use no more than there is, and where nothing happens they use nearly all of it.
+//! Leases one resource of 100 units in a group by votes, in virtual time with injected faults. Under any
+//! faults the marshals together never use more than the total; without faults they use nearly all of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
     Duration::from_millis(n)
 }
 
-/// What a marshal's clients bring, and whether it is told that others are there.
+/// The body of a report is the demand of its subtree.
 type Node = Tree<f32, ()>;
 
 #[derive(Clone)]
@@ -26,10 +26,10 @@
 }
 
 struct One {
-    /// None while it is dead.
+    /// `None` while it is dead.
     node: Option<Node>,
     life: u32,
-    /// Its own clock runs so far ahead of the world's.
+    /// How far its clock is ahead of the simulation's.
     ahead: Duration,
     next: Duration,
     stopped: bool,
@@ -42,14 +42,14 @@
     rng: Pcg64,
     fan: usize,
     all: Vec<One>,
-    /// When it arrives, and in which order it was sent.
+    /// Messages in transit, by arrival time and sequence number.
     mail: BTreeMap<(Duration, u64), (usize, Number, Word)>,
     sent: u64,
     loss: f64,
     late: u64,
-    /// Nothing passes from this side to that.
+    /// Whether messages from the first side to the second are lost.
     cut: [[bool; 3]; 3],
-    /// Membership is wrong: this one takes that one for dead.
+    /// Pairs of which the first wrongly takes the second for dead.
     wrong: BTreeSet<(usize, usize)>,
 }
 
@@ -87,7 +87,7 @@
         let marshals = (0..self.all.len() as Number).collect();
         let one = &mut self.all[n];
         one.life += 1;
-        // A life is told from the next by its number; the clock goes on.
+        // Lives differ by their number; the clock continues.
         let place = Place { me: n as Number, life: one.life, group: 9, marshals, fan: self.fan, lots: 1 };
         one.node = Tree::new(place, self.now + one.ahead);
         one.stopped = false;
@@ -122,7 +122,7 @@
         if self.cut[a][b] || self.rng.random_bool(self.loss) {
             return;
         }
-        // Sometimes twice.
+        // Some messages are duplicated.
         for _ in 0..1 + usize::from(self.rng.random_bool(0.02)) {
             self.sent += 1;
             let at = self.now + ms(self.rng.random_range(1..=self.late));
@@ -136,7 +136,8 @@
             let (to, from, word) = entry.remove();
             let one = &mut self.all[to];
             let at = self.now + one.ahead;
-            // What comes to one that is stopped lies there; here it is lost, its leases must lapse all the same.
+            // In a real process the messages to a paused marshal wait. Here they are lost; its leases must
+            // expire all the same.
             let Some(node) = one.node.as_mut().filter(|_| !one.stopped) else { continue };
             match word {
                 Word::Up(up) => node.hear_up(at, from, up),
@@ -179,14 +180,14 @@
             4 => self.all.iter_mut().enumerate().for_each(|(i, o)| o.side = ((i + n) % 3) as u8),
             5 => {
                 let (a, b) = (n % 3, (n / 3) % 3);
-                // One direction, or both.
+                // In one direction or in both.
                 self.cut[a][b] = a != b;
                 self.cut[b][a] = a != b && n % 2 == 0;
             }
             6 => self.cut = [[false; 3]; 3],
             7 => self.wrong.clear(),
             8 | 9 => {
-                // Some take the steward for dead, and speak to the next.
+                // Some marshals take the leader for dead and report to the next.
                 let first =
                     self.all.iter().position(|o| o.node.as_ref().is_some_and(|t| t.speaks_to().is_none()));
                 let modulus = self.rng.random_range(1..4);
@@ -202,7 +203,7 @@
             11 => self.loss = f64::from(self.rng.random_range(0..4u8)) / 10.0,
             _ => self.late = [20, 200, 1500][n % 3],
         }
-        // The first in the order, through whom all goes, more often than by lot.
+        // Pauses or resumes a leader more often than chance would: all messages go through it.
         if self.rng.random_bool(0.2) {
             let first =
                 self.all.iter().position(|o| o.node.as_ref().is_some_and(|t| t.speaks_to().is_none()));
@@ -242,7 +243,7 @@
         let mut world = World::new(count, 16, 8);
         world.all.iter_mut().for_each(|o| o.demand = 1.0);
         world.run(ms(20_000), |_| {});
-        // Half of all comes to one marshal from now on.
+        // From now on one marshal gets half of all demand.
         world.all[2].demand = count as f32 - 1.0;
         world.run(ms(2000), |_| {});
         let one = &world.all[2];
@@ -276,7 +277,7 @@
     for n in 0..6 {
         world.start(n);
     }
-    // All are new: no voice for 7 s.
+    // All marshals are new: no vote counts for 7 s.
     let from = world.now;
     world.run(ms(6000), |w| assert!(w.using() == 0.0, "{:?} after the start", w.now - from));
     world.run(ms(10_000), |_| {});
--- a/crates/members/src/hearing.rs
+++ b/crates/members/src/hearing.rs
@@ -1,4 +1,4 @@
-//! What a member makes of others' words, and how two compare what they know.
+//! Handles received messages and synchronizes tables between members (anti-entropy).
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         for word in &words {
             self.learn(now, from, word);
         }
-        // An answer that brought members we did not know of: there may be more.
+        // The answer revealed members that we did not know, so there may be more: synchronize again soon.
         if matches!(what, What::Words { .. }) && self.table.present() > present {
             self.next_compare = self.next_compare.min(now + self.pace.period / 2);
         }
@@ -53,10 +53,10 @@
         }
     }
 
-    /// An answer to our own probe, or to one that we made for another.
+    /// Handles an ack, either for our own probe or for one that we relay for another member.
     pub(crate) fn acked(&mut self, now: Duration, from: Number, seq: u32) {
         if self.probe.as_ref().is_some_and(|p| p.seq == seq) {
-            // Within the time that we would wait at full health, so that health returns only once it is so.
+            // Only an ack within the period that applies at full health lowers the health multiplier.
             let quick = self.probe.as_ref().is_some_and(|p| now < p.begun + self.pace.period);
             self.probe = None;
             self.health = self.health.saturating_sub(u32::from(quick));
@@ -71,18 +71,19 @@
         }
         let learnt = self.table.take(now, word);
         self.changed(word.number, learnt);
-        // A member that returned may have missed much, and so may we.
+        // A member that comes back may have missed many updates, and we may have missed some of its own.
         let back = learnt.from.is_some_and(|s| !s.present()) && word.state.present();
         if back && word.number == from {
             self.next_compare = self.next_compare.min(now + self.pace.period / 2);
         }
     }
 
-    /// A word about ourselves: what is not so any more is outdone by a later turn.
+    /// Handles an update about this member: refutes an outdated claim with a higher incarnation.
     pub(crate) fn contradict(&mut self, now: Duration, word: &Word) {
         let Some((life, turn, _)) = self.table.get(self.me).map(|e| e.rank()) else { return };
         let new = if word.life > life {
-            // Our clock was set back between two starts, or another has our number: the later word stands.
+            // Our clock was set back between two starts, or another process uses our number: the later update
+            // wins.
             Some((word.life.saturating_add(1), 0))
         } else if word.life == life && word.state != State::Alive && word.turn >= turn {
             self.health = (self.health + 1).min(UNHEALTHY);
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,13 +1,15 @@
-//! Who is there: membership among a known set of marshals, and a record of each that spreads to all.
+//! Membership of a fixed set of marshals, with one small record per member that is disseminated to all.
 //!
-//! SWIM as published (Das, Gupta, Motivala 2002: probe, indirect probe, suspicion with incarnation, rumours on
-//! the back of probes) with Lifeguard (Dadgar, Phillips, Currey 2018: local health, nacks, suspicion that ends
-//! sooner the more members come to it by themselves, the suspect told first). A member says how often it has
-//! started by its `life`; a later life is a new member under the same number. Who was away is brought up to
-//! date by digests of a range of numbers.
+//! The protocol is SWIM (Das, Gupta, Motivala 2002: probes, indirect probes, suspicion with incarnation
+//! numbers, updates piggybacked on probes) with Lifeguard (Dadgar, Phillips, Currey 2018: local health
+//! multiplier, nacks, suspicion time-outs that shorten with independent confirmations, the suspect told
+//! first). Each start of a member has its own `life` (a start epoch); a later life counts as a new member
+//! under the same number. Within a life, `turn` is SWIM's incarnation number. Members that were away catch up
+//! through digests of ranges of member numbers.
 //!
-//! No socket, clock or thread: [`Members::handle`] is told what happened and says what to send. What each member
-//! sends a second is fixed; only how long a word takes to reach all grows with their number.
+//! The crate uses no socket, clock or thread: [`Members::handle`] takes one event and returns what to send.
+//! The load that each member sends per second is constant; only the time that an update takes to reach all
+//! members grows with their number.
 #![forbid(unsafe_code)]
 
 mod hearing;
@@ -25,24 +27,24 @@
 use relay::Relays;
 use table::Table;
 
-/// A member, by its place in the terms.
+/// A member, by its index in the configuration.
 pub type Number = u16;
 
-/// How fast membership works. What it costs follows from these, and not from the number of members.
+/// Protocol timing. The load of a member follows from these values and not from the number of members.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// One member is probed in each period.
+    /// Interval between probes; one member is probed in each.
     pub period: Duration,
-    /// A probe unanswered for so long is tried through others.
+    /// Time-out after which an unanswered probe is repeated through other members.
     pub answer: Duration,
-    /// Through so many.
+    /// Number of members that are asked for an indirect probe.
     pub helpers: usize,
-    /// A suspicion lasts at least so many periods, times the common logarithm of the members, and at first so
-    /// many times that.
+    /// Minimum suspicion time-out, in periods times the common logarithm of the number of members, and the
+    /// factor by which the initial time-out exceeds it.
     pub suspicion: [f64; 2],
-    /// A member compares what it knows with another's this often.
+    /// Interval between table synchronizations with a random member.
     pub compare: Duration,
-    /// New versions of all records in a second at most, over all members.
+    /// Maximum rate of new record versions, per second over all members.
     pub versions: f64,
 }
 
@@ -59,88 +61,89 @@
     }
 }
 
-/// How many members a digest is about: it fits a datagram.
+/// Number of members in one digest, so that it fits a datagram.
 const RANGE: Number = 40;
-/// Words are passed on so many times the logarithm of the members.
+/// Each update is sent this many times the binary logarithm of the number of members.
 const TELLINGS: f64 = 3.0;
-/// Local health is at worst this.
+/// Upper limit of the local health multiplier.
 const UNHEALTHY: u32 = 8;
-/// Every so many periods somebody who is not present is tried too.
+/// Every this many periods, a member that is not present is probed too.
 const REACH: u32 = 3;
-/// A member's new version of its record goes out no sooner than this after the last.
+/// Minimum interval between two versions of a member's record.
 const LEAST_GAP: Duration = Duration::from_millis(500);
-/// Woken so many periods after its time, a member knows that it stood still, not the others.
+/// A member that wakes this many periods late concludes that its own process was paused, not that others
+/// failed.
 const STOOD: u32 = 2;
 
+/// An event for [`Members::handle`].
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// Time has passed, see [`Members::due`].
+    /// Time has passed; see [`Members::due`].
     Tick,
-    /// Bytes from another member.
+    /// A datagram from another member.
     Heard { from: Number, bytes: &'a [u8] },
 }
 
+/// An action that [`Members::handle`] requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Out {
-    Send {
-        to: Number,
-        bytes: Vec<u8>,
-    },
-    /// A member entered another state, or another life of the same.
-    Changed {
-        number: Number,
-        from: State,
-        to: State,
-        life: u64,
-    },
+    /// A datagram to send.
+    Send { to: Number, bytes: Vec<u8> },
+    /// A member changed its state or started a new life.
+    Changed { number: Number, from: State, to: State, life: u64 },
 }
 
-/// One member, as we see it.
+/// A member as seen by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View<'a> {
     pub number: Number,
     pub state: State,
+    /// Start epoch of the member.
     pub life: u64,
+    /// Incarnation number within the life.
     pub turn: u32,
-    /// How long it has been in this state.
+    /// Time since it entered this state.
     pub since: Duration,
-    /// How long ago it was last heard without another in between.
+    /// Time since it was last heard directly.
     pub heard: Option<Duration>,
-    /// Its record, the version and how long ago it came.
+    /// Its record's bytes and version, and the time since that version arrived.
     pub record: Option<(&'a [u8], u32, Duration)>,
 }
 
-/// A probe under way.
+/// A probe in progress.
 struct Probe {
     target: Number,
     seq: u32,
     begun: Duration,
-    /// Tried through others, of whom so many have said that they hear nothing either.
+    /// Number of members asked for an indirect probe, once they were asked.
     asked: Option<usize>,
+    /// How many of them have reported that the target did not answer them either.
     nacks: usize,
 }
 
-/// What went out and came in since the start.
+/// Datagrams and bytes sent and received since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
     pub heard_bytes: u64,
-    /// Datagrams that could not be read.
+    /// Datagrams that could not be decoded.
     pub dropped: u64,
 }
 
+/// The membership state of one member.
 pub struct Members {
     me: Number,
     count: Number,
     pace: Pace,
     rng: Pcg64,
     table: Table,
-    /// Lifeguard's multiplier: how far we doubt ourselves.
+    /// Lifeguard's local health multiplier: 0 is healthy, higher values mean that our own failures are
+    /// likely.
     health: u32,
     probe: Option<Probe>,
-    /// Who is probed next, last first.
+    /// Members still to be probed in this round, the next one last.
     round: Vec<Number>,
     periods: u32,
     next_period: Duration,
@@ -148,10 +151,11 @@
     seq: u32,
     relays: Relays,
     suspects: Vec<Number>,
-    /// Our next record, and when the last went out.
+    /// Our next record to publish.
     next_record: Option<Vec<u8>>,
+    /// When the last record was published.
     published: Option<Duration>,
-    /// When time was last seen.
+    /// The latest time seen.
     seen: Duration,
     leaving: bool,
     traffic: Traffic,
@@ -159,13 +163,13 @@
 }
 
 impl Members {
-    /// One of `count` members. `life` grows from start to start, as by the time of the start; a clock that was
-    /// set back does no harm.
+    /// Creates one of `count` members. `life` should grow from start to start, for example the start time; a
+    /// clock that was set back does no harm.
     pub fn new(me: Number, count: Number, life: u64, seed: u64, now: Duration, pace: Pace) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut table = Table::new(count.max(me.saturating_add(1)));
         table.enter(now, me, (life, 0, State::Alive), me);
-        // Members that start together do not speak together.
+        // A random phase keeps members that start together from sending at the same times.
         let lot = pace.period.mul_f64(rng.random());
         Members {
             me,
@@ -191,7 +195,7 @@
         }
     }
 
-    /// There are more or fewer members now.
+    /// Changes the number of members.
     pub fn resize(&mut self, count: Number) {
         self.count = count.max(self.me.saturating_add(1));
         self.table.resize(self.count);
@@ -201,10 +205,9 @@
         self.probe = self.probe.take().filter(|p| p.target < count);
     }
 
-    /// Our record from now on. It goes out as soon as the fleet's rate of versions allows.
+    /// Replaces our record. It is sent as soon as the rate limit of record versions allows.
     ///
-    /// # Errors
-    /// Its length, where it is over [`RECORD_BYTES`].
+    /// # Errors | The record's length, if it exceeds [`RECORD_BYTES`].
     pub fn publish(&mut self, record: Vec<u8>) -> Result<(), usize> {
         if record.len() > RECORD_BYTES {
             return Err(record.len());
@@ -213,7 +216,7 @@
         Ok(())
     }
 
-    /// We go: some are told at once, and pass it on.
+    /// Leaves the fleet: tells a few members at once, which pass it on.
     pub fn leave(&mut self, now: Duration) -> Vec<Out> {
         self.leaving = true;
         if let Some((life, turn, _)) = self.table.get(self.me).map(|e| e.rank()) {
@@ -225,7 +228,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// Time of the next [`Input::Tick`].
     pub fn due(&self) -> Duration {
         if self.leaving {
             return Duration::MAX;
@@ -237,20 +240,22 @@
         times.into_iter().flatten().fold(self.next_period, Duration::min)
     }
 
+    /// Datagrams and bytes sent and received since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// How far this member doubts itself, 0 to 8.
+    /// The local health multiplier, 0 (healthy) to 8.
     pub fn health(&self) -> u32 {
         self.health
     }
 
+    /// Our own start epoch.
     pub fn life(&self) -> u64 {
         self.table.get(self.me).map_or(0, |e| e.life)
     }
 
-    /// All members, ourselves among them.
+    /// All members, this one included.
     pub fn view(&self, now: Duration) -> impl Iterator<Item = View<'_>> {
         self.table.numbers().map(move |(number, e)| View {
             number,
@@ -264,6 +269,7 @@
         })
     }
 
+    /// Handles one event and returns the actions it causes; none after [`Members::leave`].
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Out> {
         if self.leaving {
             return Vec::new();
@@ -276,9 +282,9 @@
         std::mem::take(&mut self.out)
     }
 
-    /// If time has leapt, this process stood still: what it waited for may lie unread, and says nothing of
-    /// others. Guards against a stopped member that suspects all when it goes on. Harms where nothing wakes
-    /// a member for long though others live: they are suspected later by as much.
+    /// Detects that this process was paused: answers to its probes may lie unread, so their absence says
+    /// nothing about other members. Without this check a resumed member would suspect all others. The cost:
+    /// if only this process is woken late while others run, it suspects failed members later by as much.
     fn stood_still(&mut self, now: Duration) {
         let late = now.saturating_sub(self.due().max(self.seen));
         self.seen = now;
@@ -326,7 +332,7 @@
         }
     }
 
-    /// Puts out our next record where it is time.
+    /// Publishes our next record once the rate limit allows.
     fn version(&mut self, now: Duration) {
         let share = Duration::from_secs_f64(self.table.present() as f64 / self.pace.versions);
         if self.published.is_some_and(|at| now < at + share.max(LEAST_GAP)) {
@@ -341,10 +347,10 @@
         self.table.spread(me);
     }
 
-    /// So many members that are alive, but not `without`, by lot.
+    /// Up to `count` random alive members other than `without`.
     fn some(&mut self, count: usize, without: Number) -> Vec<Number> {
         let mut found = Vec::new();
-        // Drawn, not listed: this must cost no more where members are many.
+        // Random draws instead of a full listing keep the cost independent of the number of members.
         for _ in 0..20 * count {
             let number = self.rng.random_range(0..self.count);
             let fits = number != self.me && number != without && !found.contains(&number);
@@ -358,7 +364,8 @@
         found
     }
 
-    /// Sends with our own word first, then that of `about` where it is not simply alive, then the news.
+    /// Sends a message with the update about ourselves first, then the one about `about` unless it is alive,
+    /// then the queued updates.
     fn send(&mut self, to: Number, what: &What, about: Option<Number>) {
         let own = self.table.word(self.me, self.me);
         let doubted = about.and_then(|n| self.table.word(n, self.me)).filter(|w| w.state != State::Alive);
--- a/crates/members/src/message.rs
+++ b/crates/members/src/message.rs
@@ -1,35 +1,36 @@
-//! What members say to one another, as bytes: one purpose, then as many words about members as fit. Anything
-//! malformed is dropped whole.
+//! Wire format between members: one message, then as many updates about members as fit. A malformed datagram
+//! is dropped as a whole.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Number;
 
-/// A datagram at most: passes any link unbroken.
+/// Maximum datagram size; passes any link without fragmentation.
 pub const DATAGRAM_BYTES: usize = 1100;
-/// A member's record at most.
+/// Maximum size of a member's record.
 pub const RECORD_BYTES: usize = 200;
 
-/// What is believed of a member. The order matters: of two words of one turn the later in this list wins.
+/// State of a member. The order matters: between two updates of the same incarnation, the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     /// Never heard of.
     Unknown,
     Alive,
-    /// Did not answer somebody; it may contradict.
+    /// Missed a probe; it can refute the suspicion.
     Suspect,
-    /// Did not contradict in time.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// Said itself that it goes.
+    /// Announced that it leaves.
     Left,
 }
 
 impl State {
-    /// It takes part: it is probed, and its record counts.
+    /// Whether it takes part: it is probed, and its record counts.
     pub fn present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 
+    /// The state's name in lower case.
     pub fn word(self) -> &'static str {
         match self {
             State::Unknown => "unknown",
@@ -41,9 +42,11 @@
     }
 }
 
-/// How new a word is: a later life beats all of an earlier one, a later turn all of an earlier turn.
+/// Precedence of an update: a later life beats any earlier one, a later turn (incarnation) beats any earlier
+/// one of the same life.
 pub type Rank = (u64, u32, State);
 
+/// The record that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Counts up within a life.
@@ -51,24 +54,26 @@
     pub bytes: Vec<u8>,
 }
 
+/// An update: the state of one member, with its record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     pub number: Number,
     pub life: u64,
     pub turn: u32,
     pub state: State,
-    /// Who suspects it.
+    /// The member that reports the suspicion.
     pub by: Number,
     pub record: Option<Record>,
 }
 
 impl Word {
+    /// The update's precedence.
     pub fn rank(&self) -> Rank {
         (self.life, self.turn, self.state)
     }
 }
 
-/// What one member knows of another, without the record itself.
+/// Digest entry: what a member knows of another, without the record's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     pub number: Number,
@@ -78,6 +83,7 @@
     pub version: u32,
 }
 
+/// The kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
     Ping {
@@ -86,28 +92,30 @@
     Ack {
         seq: u32,
     },
-    /// Ping the target for me.
+    /// Asks the receiver to ping the target for the sender.
     Ask {
         seq: u32,
         target: Number,
     },
-    /// I pinged it for you, and have no answer yet.
+    /// The target of a requested ping has not answered yet.
     Nack {
         seq: u32,
     },
-    /// All that I know of the members from `start` to before `end`; who is left out I don't know.
+    /// Digest of all members known to the sender from `start` up to but excluding `end`; a member left out is
+    /// unknown to it.
     Digest {
         start: Number,
         end: Number,
         rows: Vec<Row>,
     },
-    /// Words alone; of these members I know less than you.
+    /// Carries updates only; requests the updates of the listed members, of which the sender knows less.
     Words {
         want: Vec<Number>,
     },
 }
 
-/// The bytes of a purpose and of the words that fit behind it, in their order; how many did.
+/// Encodes a message and as many of the updates as fit behind it, in order; returns the bytes and the number
+/// of updates encoded.
 pub fn write<'a>(what: &What, words: impl Iterator<Item = &'a Word>) -> (Vec<u8>, usize) {
     let mut bytes = postcard::to_allocvec(what).unwrap_or_default();
     let mut count = 0;
@@ -122,7 +130,7 @@
     (bytes, count)
 }
 
-/// The purpose and the words; none where a byte of them is not as written by [`write`].
+/// Decodes a message and its updates; `None` if any byte differs from what [`write`] produces.
 pub fn read(bytes: &[u8]) -> Option<(What, Vec<Word>)> {
     if bytes.len() > DATAGRAM_BYTES {
         return None;
@@ -156,7 +164,7 @@
         let (bytes, count) = write(&What::Ping { seq: 9 }, words.iter());
         assert!(bytes.len() <= DATAGRAM_BYTES && (4..20).contains(&count), "{count}");
         assert_eq!(read(&bytes), Some((What::Ping { seq: 9 }, words[..count].to_vec())));
-        // A record over the bound, and a word cut short, spoil the whole.
+        // A record over the size limit, or a truncated update, invalidates the whole datagram.
         let (long, _) = write(&What::Ping { seq: 9 }, [word(1, RECORD_BYTES + 1)].iter());
         assert_eq!((read(&long), read(&bytes[..bytes.len() - 1])), (None, None));
     }
--- a/crates/members/src/probing.rs
+++ b/crates/members/src/probing.rs
@@ -1,4 +1,4 @@
-//! Whom a member probes, and what it makes of silence.
+//! Probing: target selection, indirect probes and suspicion of members that do not answer.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
             self.probe = Some(Probe { target, seq, begun: now, asked: None, nacks: 0 });
             self.send(target, &What::Ping { seq }, Some(target));
         }
-        // Who is not known to be present is tried now and then, without consequence; often while alone.
+        // Members not known to be present are probed occasionally, without consequence; in every period while
+        // this member is alone.
         if self.periods.is_multiple_of(REACH) || self.table.present() < 2 {
             for _ in 0..10 {
                 let number = self.rng.random_range(0..self.count);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// All that are present once each, in an order that changes from round to round.
+    /// The next target. Each round probes every present member once, in a new random order.
     pub(crate) fn next_target(&mut self) -> Option<Number> {
         for _ in 0..2 {
             while let Some(number) = self.round.pop() {
@@ -61,10 +62,10 @@
         }
     }
 
-    /// The period is over: a probe that nobody answered makes its target suspect.
+    /// Ends the period: the target of an unanswered probe becomes suspect.
     pub(crate) fn unanswered(&mut self, now: Duration) {
         let Some(probe) = self.probe.take() else { return };
-        // Helpers that are silent too speak against ourselves.
+        // Members that neither relayed an ack nor sent a nack suggest that our own link is at fault.
         let silent = probe.asked.unwrap_or(0).saturating_sub(probe.nacks);
         let alone = probe.asked.is_none_or(|asked| asked == 0);
         self.health = (self.health + silent as u32 + u32::from(alone)).min(UNHEALTHY);
@@ -83,7 +84,7 @@
         let members = self.table.present() as f64;
         let [least, first] = self.pace.suspicion;
         let least = least * members.log10().max(1.0);
-        // Where there are few others, none of them need confirm it.
+        // With few other members, no confirmation by them is required.
         let wanted = CONFIRMED.min(self.table.present().saturating_sub(3));
         let more = doubt.by.len().saturating_sub(1).min(wanted);
         let part = if wanted == 0 { 1.0 } else { ((more + 1) as f64).ln() / ((wanted + 1) as f64).ln() };
--- a/crates/members/src/relay.rs
+++ b/crates/members/src/relay.rs
@@ -1,25 +1,28 @@
-//! Probes made for other members, and what they are owed for them.
+//! Indirect probes that this member makes for others, and the nacks due for them.
 
 use std::time::Duration;
 
 use crate::Number;
 
-/// Probes for others at once; who asks for more is not heard.
+/// Maximum number of concurrent relayed probes; further requests are ignored.
 const MOST: usize = 64;
 
 struct Relay {
     asker: (Number, u32),
     target: (Number, u32),
-    /// When the asker is told that there is no answer yet.
+    /// When the requester is sent a nack.
     nack: Option<Duration>,
+    /// When the entry is dropped.
     until: Duration,
 }
 
+/// The relayed probes in progress.
 #[derive(Default)]
 pub struct Relays(Vec<Relay>);
 
 impl Relays {
-    /// Both by number and its own count; false where there are too many.
+    /// Registers a relayed probe. `asker` and `target` are each a member with its sequence number; false if
+    /// the limit is reached.
     pub fn take(
         &mut self, now: Duration, asker: (Number, u32), target: (Number, u32), wait: Duration,
         period: Duration,
@@ -27,20 +30,20 @@
         self.0.retain(|r| now < r.until);
         let room = self.0.len() < MOST;
         if room {
-            // Before the asker's period is over, or its own health would pay for our patience.
+            // Early enough for the requester's period, or our waiting would raise its health multiplier.
             let nack = Some(now + wait.min(period / 2).mul_f64(0.8));
             self.0.push(Relay { asker, target, nack, until: now + 4 * period });
         }
         room
     }
 
-    /// The asker that this answer is for.
+    /// Removes the relayed probe that this ack belongs to and returns its requester.
     pub fn answered(&mut self, from: Number, seq: u32) -> Option<(Number, u32)> {
         let at = self.0.iter().position(|r| r.target == (from, seq))?;
         Some(self.0.swap_remove(at).asker)
     }
 
-    /// Askers who are to be told now.
+    /// Requesters that are due a nack now; each is returned once.
     pub fn late(&mut self, now: Duration) -> Vec<(Number, u32)> {
         let due = self.0.iter_mut().filter(|r| r.nack.is_some_and(|at| now >= at));
         let askers = due.map(|r| {
@@ -50,6 +53,7 @@
         askers.collect()
     }
 
+    /// Time of the next nack.
     pub fn due(&self) -> Option<Duration> {
         self.0.iter().filter_map(|r| r.nack).min()
     }
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -1,4 +1,4 @@
-//! What is known of each member, and which news of it is still to be passed on.
+//! Member table, with the queue of updates still to be disseminated.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,30 +6,33 @@
 use crate::message::{Rank, Record, Row, State, Word};
 use crate::Number;
 
-/// So many suspect a member on their own before its time is as short as it gets.
+/// Number of independent confirmations that shortens a suspicion to its minimum.
 pub const CONFIRMED: usize = 3;
 
-/// A suspicion, as Lifeguard has it: the more members came to it by themselves, the sooner it ends.
+/// A suspicion with Lifeguard's rule: the more members suspect independently, the sooner it ends.
 #[derive(Clone, Debug)]
 pub struct Doubt {
+    /// When the suspicion began, by our clock.
     pub begun: Duration,
+    /// Members that suspect it independently.
     pub by: Vec<Number>,
 }
 
+/// What is known of one member.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub life: u64,
     pub turn: u32,
     pub state: State,
-    /// Since when it is in this state, by our time.
+    /// When it entered this state, by our clock.
     pub since: Duration,
-    /// When it was last heard without another in between.
+    /// When it was last heard directly.
     pub heard: Option<Duration>,
     pub doubt: Option<Doubt>,
     pub record: Option<Record>,
-    /// When this version of its record came.
+    /// When this version of its record arrived.
     pub record_at: Duration,
-    /// How often its word was passed on; none where that was often enough.
+    /// How often its update was sent; `None` once that was often enough.
     told: Option<u32>,
 }
 
@@ -57,19 +60,21 @@
     }
 }
 
-/// What a word changed.
+/// Effect of an update.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Learnt {
-    /// The state that it had before, where it is another now, or the life is.
+    /// The previous state, if the state or the life changed.
     pub from: Option<State>,
 }
 
+/// All members by number.
 pub struct Table {
     entries: Vec<Entry>,
-    /// Whose word is still to be passed on, the least told first.
+    /// Members whose update is still to be sent, the least often sent first.
     queue: BTreeSet<(u32, Number)>,
-    /// How often each is.
+    /// How often each update is sent.
     pub enough: u32,
+    /// Number of members present.
     present: usize,
 }
 
@@ -87,6 +92,7 @@
         self.entries.get_mut(usize::from(number))
     }
 
+    /// Changes the number of members.
     pub fn resize(&mut self, count: Number) {
         self.entries.resize_with(count.into(), Entry::new);
         self.queue.retain(|(_, number)| *number < count);
@@ -97,25 +103,27 @@
         self.entries.iter().enumerate().map(|(i, e)| (i as Number, e))
     }
 
-    /// How many take part, ourselves included.
+    /// Number of members present, this one included.
     pub fn present(&self) -> usize {
         self.present
     }
 
+    /// The update about a member, as sent by `by`.
     pub fn word(&self, number: Number, by: Number) -> Option<Word> {
         let e = self.get(number).filter(|e| e.state != State::Unknown)?;
-        // Of a suspicion the one who came to it last is named, so that others hear of more than one.
+        // Naming the latest confirmation lets others learn of more than one.
         let by = e.doubt.as_ref().and_then(|d| d.by.last().copied()).unwrap_or(by);
         let record = e.record.clone().filter(|_| e.state.present());
         Some(Word { number, life: e.life, turn: e.turn, state: e.state, by, record })
     }
 
+    /// The digest entry of a member.
     pub fn row(&self, number: Number) -> Option<Row> {
         let e = self.get(number).filter(|e| e.state != State::Unknown)?;
         Some(Row { number, life: e.life, turn: e.turn, state: e.state, version: e.version() })
     }
 
-    /// Its word goes out with the next datagrams.
+    /// Queues the member's update for the next datagrams.
     pub fn spread(&mut self, number: Number) {
         let Some(e) = self.entries.get_mut(usize::from(number)) else { return };
         if let Some(told) = e.told.replace(0) {
@@ -124,12 +132,12 @@
         self.queue.insert((0, number));
     }
 
-    /// The words to pass on, the least told first.
+    /// Up to `most` updates to send, the least often sent first.
     pub fn due(&self, by: Number, most: usize) -> Vec<Word> {
         self.queue.iter().take(most).filter_map(|&(_, number)| self.word(number, by)).collect()
     }
 
-    /// These words have gone out.
+    /// Counts these updates as sent once more.
     pub fn told(&mut self, numbers: impl Iterator<Item = Number>) {
         for number in numbers {
             let Some(e) = self.entries.get_mut(usize::from(number)) else { continue };
@@ -140,7 +148,7 @@
         }
     }
 
-    /// Puts a member into a state, and passes it on.
+    /// Sets a member's state and queues the update.
     pub fn enter(&mut self, now: Duration, number: Number, rank: Rank, by: Number) -> Learnt {
         let Some(e) = self.entries.get_mut(usize::from(number)) else { return Learnt::default() };
         let (old, same_life) = (e.state, e.life == rank.0);
@@ -159,7 +167,7 @@
         Learnt { from: changed.then_some(old) }
     }
 
-    /// Takes a word about another member; what it changed.
+    /// Applies an update about another member.
     pub fn take(&mut self, now: Duration, word: &Word) -> Learnt {
         let Some(e) = self.get(word.number) else { return Learnt::default() };
         if word.state == State::Unknown {
@@ -185,7 +193,7 @@
         learnt
     }
 
-    /// One more member came to suspect it by itself.
+    /// Records that `by` suspects the member independently.
     pub fn confirm(&mut self, number: Number, by: Number) {
         let Some(doubt) = self.get_mut(number).and_then(|e| e.doubt.as_mut()) else { return };
         if doubt.by.len() <= CONFIRMED && !doubt.by.contains(&by) {
--- a/crates/subset/examples/options.rs
+++ b/crates/subset/examples/options.rs
@@ -1,4 +1,4 @@
-//! Ways to take subsets, beside one another: evenness and churn at 3,700 marshals and lists of four sizes.
+//! Compares subsetting algorithms: evenness and churn at 3,700 marshals and four list sizes.
 //! `cargo run --release -p ivydrift-subset --example options`
 
 use ivydrift_subset::{choose, Fleet, Node, HOLDERS, LEAST};
@@ -48,7 +48,7 @@
     (0..marshals).map(of).collect()
 }
 
-/// Google SRE book, chapter 20.
+/// Deterministic subsetting as in the Google SRE book, chapter 20.
 fn rounds(ids: &[u32], marshals: usize, k: usize) -> Vec<Vec<u32>> {
     let lot = (ids.len() / k).max(1);
     let mut all = Vec::new();
@@ -60,14 +60,14 @@
     all
 }
 
-/// Low-discrepancy rings, a lot of marshals on each.
+/// Low-discrepancy rings, each shared by a lot of marshals.
 fn rings(ids: &[u32], marshals: usize, k: usize) -> Vec<Vec<u32>> {
     let lot = (ids.len() / k).max(1).next_power_of_two();
     let rings: Vec<Vec<u32>> = (0..marshals.div_ceil(lot)).map(|r| ordered(ids, r as u64)).collect();
     (0..marshals).map(|m| window(&rings[m / lot], corput((m % lot) as u64), k)).collect()
 }
 
-/// Each marshal ranks the nodes.
+/// Rendezvous hashing in which each marshal ranks the nodes.
 fn rendezvous(ids: &[u32], marshals: usize, k: usize) -> Vec<Vec<u32>> {
     let of = |m: usize| {
         let mut ranked: Vec<(u64, u32)> =
@@ -80,7 +80,7 @@
     (0..marshals).map(of).collect()
 }
 
-/// Nodes and marshals at hashed points of one ring, as with Maglev's forerunners.
+/// Consistent hashing: nodes and marshals at hashed points of one ring, as in Maglev's predecessors.
 fn consistent(ids: &[u32], marshals: usize, k: usize) -> Vec<Vec<u32>> {
     let ring = ordered(ids, 0);
     let points: Vec<u64> = ring.iter().map(|id| hash(u64::from(*id), 0)).collect();
@@ -91,7 +91,7 @@
     (0..marshals).map(of).collect()
 }
 
-/// Deterministic aperture: one ring of nodes in order, marshals evenly round it.
+/// Deterministic aperture: one ordered ring of nodes, with the marshals evenly spaced around it.
 fn aperture(ids: &[u32], marshals: usize, k: usize) -> Vec<Vec<u32>> {
     let ring = ordered(ids, 0);
     (0..marshals).map(|m| window(&ring, m as f64 / marshals as f64, k)).collect()
@@ -107,7 +107,7 @@
     (0..marshals).map(of).collect()
 }
 
-/// Links that are new, those of the first so many marshals.
+/// Number of new links of the marshals that both assignments have.
 fn gained(before: &[Vec<u32>], after: &[Vec<u32>]) -> usize {
     let new = |(b, a): (&Vec<u32>, &Vec<u32>)| {
         let b: std::collections::HashSet<&u32> = b.iter().collect();
--- a/crates/subset/src/choice.rs
+++ b/crates/subset/src/choice.rs
@@ -1,50 +1,54 @@
-//! The choice itself.
+//! Selection of a marshal's subset.
 
 use crate::fleet::{lot, Fleet};
 use crate::{ARM, ARM_LEAST, HOLDERS};
 
-/// A node of the list.
+/// A node of the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// The same at every marshal.
+    /// Hash of the node's identity, the same at every marshal.
     pub name: u64,
+    /// Index of its zone.
     pub zone: usize,
-    /// It runs the newest build listed: the arm on trial.
+    /// Whether it runs the newest listed build, the one on trial.
     pub new: bool,
+    /// Whether it accepts new RPCs.
     pub ready: bool,
 }
 
-/// What a marshal holds of a list, by arm: the earlier builds', then the newest's.
+/// A marshal's subset. Arrays are indexed by arm: the earlier builds, then the newest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// For each node, in the list's order.
+    /// Whether each node is in the subset, in list order.
     pub held: Vec<bool>,
-    /// The part of the arm's ready nodes that this marshal holds; 1 where it has none.
+    /// Fraction of the arm's ready nodes that are in this subset; 1 if none is.
     pub seen: [f64; 2],
-    /// The part of all marshals that hold a node of the arm, at the least; 1 where it has none.
+    /// Fraction of all marshals whose subset has a given node of the arm, a lower bound; 1 if there is none.
     pub holders: [f64; 2],
 }
 
-/// A part of each arm's nodes by reach: here, in the region, elsewhere.
+/// Fractions of each arm's nodes by distance: same zone, same region, elsewhere.
 type Parts = [[f64; 3]; 2];
 
-/// What the last choice found, so that the next one asks only of what has changed. It changes no choice.
+/// Results of the last choice, so that the next one recomputes only what has changed. It does not affect the
+/// result.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     fleet: Option<Fleet>,
-    /// Each node's name, place and most holders, and whether this marshal is among them; in the list's order.
+    /// Each node's name, zone index, maximum number of holders, and whether this marshal is one of them, in
+    /// list order.
     found: Vec<(u64, usize, usize, bool)>,
 }
 
-/// How far ahead a node is looked for where others before it have left the list.
+/// How far ahead a node is searched for when nodes before it have left the list.
 const AHEAD: usize = 64;
 
-/// What this marshal holds of a list, of which it wants so many.
+/// Chooses this marshal's subset of a list, with `want` nodes as the target size.
 pub fn choose(fleet: &Fleet, nodes: &[Node], want: usize) -> Choice {
     choose_again(fleet, nodes, want, &mut Memory::default())
 }
 
-/// The same, with what the last choice found.
+/// As [`choose`], reusing the results of the last choice.
 pub fn choose_again(fleet: &Fleet, nodes: &[Node], want: usize, memory: &mut Memory) -> Choice {
     if nodes.len() <= want {
         return Choice { held: vec![true; nodes.len()], seen: [1.0; 2], holders: [1.0; 2] };
@@ -55,7 +59,8 @@
     }
     let wanted = wants(&listed, want);
     let own = parts(fleet, &listed, &wanted, fleet.zone);
-    // For each place of nodes: the marshals as far from it as this one, and how many of them hold a node there.
+    // For each zone of nodes: the number of marshals at this marshal's distance from it, and how many of
+    // those hold a given node there.
     let quota: Vec<(usize, [f64; 2])> = (0..fleet.places())
         .map(|place| {
             let reach = fleet.reach(fleet.zone, place);
@@ -70,7 +75,7 @@
     let mut holds = |node: &Node| {
         let (place, arm) = (fleet.place(node.zone), usize::from(node.new));
         let (count, quota) = (quota[place].0, quota[place].1[arm]);
-        // All of them, though a product of parts may fall short of it by its last digit.
+        // Treats it as all of them even if the product of fractions falls short by rounding.
         let all = quota + 1e-6 >= count as f64;
         let most = if all { count } else { (quota + lot(node.name)).floor() as usize };
         let at = earlier[next.min(earlier.len())..].iter().take(AHEAD).position(|f| f.0 == node.name);
@@ -89,7 +94,7 @@
     Choice { seen: seen(nodes, &held), holders: holders(fleet, &listed, &wanted, &own), held }
 }
 
-/// The part of each arm's ready nodes that is held; 1 where none is.
+/// Fraction of each arm's ready nodes that are held; 1 if none is.
 pub fn seen(nodes: &[Node], held: &[bool]) -> [f64; 2] {
     [false, true].map(|new| {
         let arm = || nodes.iter().zip(held).filter(|(n, _)| n.ready && n.new == new);
@@ -102,14 +107,16 @@
     })
 }
 
-/// How many ready nodes each arm has, and how many of them a marshal wants: by its share, but at least a few.
+/// Number of ready nodes of each arm that a marshal wants: proportional to the arm's size, but at least a
+/// few.
 fn wants(listed: &[[usize; 2]], want: usize) -> [f64; 2] {
     let all = [0, 1].map(|arm: usize| listed.iter().map(|l| l[arm]).sum::<usize>());
     let total = (all[0] + all[1]).max(1) as f64;
     all.map(|n| (want as f64 * n as f64 / total).max(ARM.min(n) as f64).min(n as f64))
 }
 
-/// What part of the nodes at each reach a marshal of some zone takes: the near first, others as far as it wants more.
+/// Fraction of the nodes at each distance that a marshal of the given zone takes: nearest first, farther ones
+/// until it has enough.
 fn parts(fleet: &Fleet, listed: &[[usize; 2]], wanted: &[f64; 2], zone: usize) -> Parts {
     [0, 1].map(|arm: usize| {
         let mut left = wanted[arm];
@@ -123,15 +130,17 @@
     })
 }
 
-/// The part of the marshals at some reach from a node that hold it: what they want, and no fewer than it needs where
-/// nearer ones are not enough. Guards against nodes without marshals, as where all those of its zone are dead.
+/// Fraction of the marshals at the given distance from a node that hold it: as many as want it, but no fewer
+/// than the node needs if nearer marshals are too few. This keeps a node from having no marshals, for example
+/// when all those of its zone are dead.
 fn holding(fleet: &Fleet, place: usize, reach: usize, part: f64) -> f64 {
     let nearer: usize = (0..reach).map(|r| fleet.within(place, r)).sum();
     let need = HOLDERS.saturating_sub(nearer) as f64;
     part.max((need / fleet.within(place, reach).max(1) as f64).min(1.0))
 }
 
-/// Too few of an arm by chance: more by this marshal's own order, the near ones first. Costs those nodes a holder more.
+/// Adds nodes if chance gave the marshal too few of an arm: nearest first, by its own ranking. Those nodes
+/// get one holder more.
 fn fill(fleet: &Fleet, nodes: &[Node], held: &mut [bool], arm: usize, half: usize) {
     let mine = |i: &usize| nodes[*i].ready && usize::from(nodes[*i].new) == arm;
     let least = half.max(ARM_LEAST);
@@ -147,8 +156,8 @@
     others.iter().take(least - has).for_each(|i| held[*i] = true);
 }
 
-/// The part of all marshals that hold a node of each arm, if all want as many as this one: the most of those places
-/// from which it takes any, so that nobody reckons with fewer holders than there are.
+/// Fraction of all marshals that hold a node of each arm, assuming that all want as many as this one: the
+/// maximum over the zones it takes nodes from, so that no marshal assumes fewer holders than there are.
 fn holders(fleet: &Fleet, listed: &[[usize; 2]], wanted: &[f64; 2], own: &Parts) -> [f64; 2] {
     let others: Vec<Parts> = (0..fleet.zones()).map(|z| parts(fleet, listed, wanted, z)).collect();
     let marshals: usize = (0..fleet.zones()).map(|z| fleet.alive(z)).sum();
--- a/crates/subset/src/fleet.rs
+++ b/crates/subset/src/fleet.rs
@@ -1,24 +1,29 @@
-//! All marshals, by number and zone, and the order in which a node ranks them.
+//! The marshals by number and zone, and the order in which a node ranks them.
 
 use std::ops::Range;
 
-/// The marshals as the terms have them, and who is known to be dead.
+/// The configured marshals, with those known to be dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fleet {
+    /// Number of this marshal.
     pub(crate) number: usize,
     /// The zone of this marshal.
     pub(crate) zone: usize,
+    /// Marshal numbers of each zone.
     zones: Vec<Range<usize>>,
+    /// Region of each zone.
     regions: Vec<usize>,
-    /// It is known where the marshals are.
+    /// Whether the zones of all marshals are known.
     zoned: bool,
     dead: Vec<bool>,
+    /// Number of live marshals of each zone.
     alive: Vec<usize>,
 }
 
 impl Fleet {
-    /// `counts`: marshals of each zone, numbered zone by zone. Where they do not add up to `of`, or do not have this
-    /// number in this zone, nobody knows where the others are, and all marshals and nodes count as lying together.
+    /// `counts` holds the number of marshals of each zone; marshals are numbered zone by zone. If the counts
+    /// do not add up to `of`, or do not put this number into this zone, the zones of the others are unknown,
+    /// and all marshals and nodes count as one zone.
     pub fn new(number: usize, of: usize, zone: usize, counts: &[usize], regions: &[usize]) -> Self {
         let of = of.max(number + 1);
         let mut end = 0;
@@ -38,7 +43,7 @@
         Fleet { number, zone, zones, regions, zoned, dead: vec![false; of], alive }
     }
 
-    /// These are dead, and no others; true where that is news. This marshal itself never is.
+    /// Sets which marshals are dead; true if that changed. This marshal itself never counts as dead.
     pub fn bury(&mut self, dead: impl IntoIterator<Item = usize>) -> bool {
         let mut now = vec![false; self.dead.len()];
         for number in dead.into_iter().filter(|n| *n < now.len() && *n != self.number).collect::<Vec<_>>() {
@@ -50,11 +55,13 @@
         news
     }
 
+    /// Number of configured marshals.
     pub fn of(&self) -> usize {
         self.dead.len()
     }
 
-    /// Where a node's zone stands in tables: the last place is that of all zones that the terms do not name.
+    /// Index of a node's zone in tables; the last index stands for all zones that the configuration does not
+    /// name.
     pub(crate) fn place(&self, zone: usize) -> usize {
         if self.zoned {
             zone.min(self.zones.len())
@@ -63,6 +70,7 @@
         }
     }
 
+    /// Number of zone indices, see [`Fleet::place`].
     pub(crate) fn places(&self) -> usize {
         self.zones.len() + usize::from(self.zoned)
     }
@@ -75,7 +83,7 @@
         self.alive[zone]
     }
 
-    /// How far a marshal's zone lies from a node's: 0 the same, 1 another of the region, 2 any other.
+    /// Distance from a marshal's zone to a node's: 0 same zone, 1 same region, 2 any other.
     pub(crate) fn reach(&self, marshal: usize, node: usize) -> usize {
         match (marshal == node, self.regions.get(node)) {
             (true, _) => 0,
@@ -84,30 +92,30 @@
         }
     }
 
-    /// Living marshals of that reach from a node's zone.
+    /// Number of live marshals at that distance from a node's zone.
     pub(crate) fn within(&self, node: usize, reach: usize) -> usize {
         let zones = (0..self.zones.len()).filter(|z| self.reach(*z, node) == reach);
         zones.map(|z| self.alive[z]).sum()
     }
 
-    /// The node ranks this marshal among the first `most` of the living that are as far from it.
+    /// Whether the node ranks this marshal among the first `most` live marshals at its distance.
     pub(crate) fn among(&self, name: u64, node: usize, most: usize) -> bool {
         let (reach, name) = (self.reach(self.zone, node), salted(name));
         let own = (lots(name, self.number as u64), self.number);
         let peers = (0..self.zones.len()).filter(|z| self.reach(*z, node) == reach);
         let peers = peers.flat_map(|z| self.zones[z].clone()).filter(|n| !self.dead[*n]);
         let earlier = peers.filter(|n| (lots(name, *n as u64), *n) < own);
-        // Most nodes end this after a few: `most` earlier ones are soon found.
+        // For most nodes this ends early, once `most` better-ranked marshals are found.
         most > 0 && earlier.take(most).count() < most
     }
 
-    /// This marshal's own order of nodes, the same as the node's order of it.
+    /// This marshal's ranking of nodes; the same hash as the node's ranking of it.
     pub(crate) fn taste(&self, name: u64) -> u64 {
         draw(name, self.number as u64)
     }
 }
 
-/// Chance by hash (splitmix64's finalizer): the same on every machine and in every later program.
+/// Deterministic hash (splitmix64's finalizer); must be the same on every machine and in every later version.
 fn mix(x: u64) -> u64 {
     let x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ x >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -118,6 +126,7 @@
     mix(name.wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
 
+/// The hash by which a node ranks a marshal.
 fn lots(salted: u64, number: u64) -> u64 {
     mix(salted ^ (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
@@ -126,7 +135,7 @@
     lots(salted(name), number)
 }
 
-/// A node's lot from 0 to 1, by which a part of a holder is rounded.
+/// A node's hash as a fraction from 0 to 1, used to round a fractional number of holders.
 pub(crate) fn lot(name: u64) -> f64 {
     (draw(name, u64::MAX - 1) >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,12 +1,14 @@
-//! Which of a service's nodes a marshal holds where the list is larger than it needs.
+//! Deterministic subsetting: which of a service's nodes a marshal uses if the list is larger than it needs.
 //!
-//! Each node ranks the marshals by a hash of its name and their numbers (rendezvous hashing), and a marshal holds the
-//! nodes that rank it among their first few. So each node has its holders for certain, whatever each marshal's part
-//! comes to; a node that comes or goes moves no other, but for the few whose count of holders changes by one; and
-//! nothing is kept or told: number, counts of marshals, the list and who is dead give the same on both sides of a cut.
-//! The marshals known to be dead are left out of the ranks, and the next in each node's order step in.
+//! Each node ranks the marshals by a hash of its name and their numbers (rendezvous hashing), and a marshal
+//! holds the nodes that rank it among their first few. Every node is therefore sure to have its holders,
+//! whatever fraction each marshal takes; a node that joins or leaves affects no others, except for the few
+//! whose number of holders changes by one; and nothing is stored or exchanged: the marshal's number, the
+//! counts of marshals, the node list and the set of dead marshals give the same result on both sides of a
+//! partition. Marshals known to be dead are left out of the ranking, and the next in each node's order take
+//! their place.
 //!
-//! No I/O, no clocks, and nothing of builds' trials but that there are two arms.
+//! The crate does no I/O and reads no clock. Of rollouts it knows only that there are two arms.
 #![forbid(unsafe_code)]
 
 mod choice;
@@ -17,17 +19,19 @@
 pub use fleet::Fleet;
 pub use size::Size;
 
-/// Nodes that a marshal takes at the least. Two random choices among so many find an idle one, a quarter of them may
-/// rest, and at the peak of 95 RPCs a second each is met four times a second: its health shows within seconds.
+/// Minimum subset size. Two random choices among 24 nodes find an idle one even with a quarter of them ejected
+/// as outliers, and at the peak of 95 RPCs/s per marshal each node gets four RPCs a second, so its health shows
+/// within seconds.
 pub const LEAST: usize = 24;
 
-/// Each node has so many holders at the least, as far as there are marshals: five may die at once unheard, and the sizes of
-/// its holders' subsets, which chance moves, even out.
+/// Minimum number of marshals that hold a node, as far as there are that many. Five can die at once
+/// unnoticed, and the random differences between the sizes of its holders' subsets even out.
 pub const HOLDERS: usize = 6;
 
-/// Of each arm of a trial a marshal wants so many at the least, where the arm has them: by chance it then holds two
-/// with all but 3 in 1,000 draws.
+/// Minimum number of nodes of each arm that a marshal wants, if the arm has them: it then holds at least two
+/// in all but 3 of 1,000 random draws.
 pub const ARM: usize = 8;
 
-/// And takes so many in any case, by its own order: an arm that a marshal does not see it cannot try.
+/// Minimum number of nodes of each arm that a marshal takes in any case, by its own ranking: it cannot try an
+/// arm that it does not see.
 pub const ARM_LEAST: usize = 2;
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -1,38 +1,41 @@
-//! How many nodes a marshal wants.
+//! Target size of a marshal's subset.
 
 use std::time::Duration;
 
-/// RPCs a second that a marshal sends one node on the mean, at the most. A marshal of the fleet's mean at the peak, 95
-/// RPCs a second, wants the least; a busier one wants more, or its nodes would have more to do than others.
+/// Maximum mean rate of RPCs per second from a marshal to one node. At the fleet's mean peak of 95 RPCs/s a
+/// marshal wants the minimum size; a busier one wants more, or its nodes would get more load than others.
 const PER_NODE: f64 = 4.0;
-/// Sizes are steps, each so many times the last: a rate that wavers moves no nodes.
+/// Ratio between successive sizes: small changes of the rate do not change the subset.
 const STEP: f64 = 1.5;
-/// It shrinks to a smaller step only where that would fit this multiple of the rate...
+/// The subset shrinks only if the smaller size would suffice for this multiple of the rate...
 const SLACK: f64 = 1.5;
-/// ...and has for so long. Guards against subsets that breathe with bursts: each change costs connections.
+/// ...and has done so for this long. This keeps the subset from following bursts: each change costs
+/// connections.
 const CALM: Duration = Duration::from_secs(60);
-/// Beyond this more nodes say nothing more to two random choices, and each is a cost.
+/// Maximum size. Beyond it, more nodes do not improve two random choices, and each one costs connections.
 const MOST: usize = 1024;
 
-/// How many nodes a marshal wants, by the rate of its RPCs.
+/// Target subset size by the rate of RPCs.
 #[derive(Clone, Debug)]
 pub struct Size {
     least: usize,
     want: usize,
-    /// Since when fewer would do.
+    /// Since when a smaller size has sufficed.
     calm: Option<Duration>,
 }
 
 impl Size {
+    /// Starts at the minimum size.
     pub fn new(least: usize) -> Self {
         Size { least, want: least, calm: None }
     }
 
+    /// The target number of nodes.
     pub fn want(&self) -> usize {
         self.want
     }
 
-    /// The smallest step that suffices for so many RPCs a second.
+    /// The smallest size that suffices for this many RPCs per second.
     fn step(&self, rate: f64) -> usize {
         let mut size = self.least;
         while (size as f64) * PER_NODE < rate && size < MOST {
@@ -41,7 +44,7 @@
         size
     }
 
-    /// Takes the rate of the last seconds; true where it wants another number now.
+    /// Takes the rate of the last seconds, in RPCs per second; true if the target size changed.
     pub fn look(&mut self, now: Duration, rate: f64) -> bool {
         let (due, fewer) = (self.step(rate), self.step(rate * SLACK));
         if due > self.want {
