--- a/crates/commons/src/large.rs
+++ b/crates/commons/src/large.rs
@@ -16,15 +16,15 @@
 /// Maximum number of states held, our own included; beyond it the state that was requested first is dropped.
 pub const STATES: usize = 16;
 /// Maximum number of marshals that fetch directly from one marshal.
-const FAN: usize = 4;
+const FAN_OUT: usize = 4;
 /// Maximum rate of piece requests sent per second, and the maximum burst.
-const ASKED: f64 = 20.0;
+const MAX_REQUESTS_PER_SECOND: f64 = 20.0;
 /// Maximum rate of pieces sent per second, and the maximum burst.
-const ANSWERED: f64 = 40.0;
+const MAX_PIECES_PER_SECOND: f64 = 40.0;
 /// Time-out after which an unanswered piece request is repeated.
-const AGAIN: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// A parent that has sent no piece for this long is skipped for the one above it.
-const SILENT: Duration = Duration::from_millis(2500);
+const PARENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Identifies a state: its owner, and which of the owner's states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -57,9 +57,9 @@
 }
 
 fn digest(bytes: &[u8]) -> [u8; 16] {
-    let mut first = [0; 16];
-    first.copy_from_slice(&blake3::hash(bytes).as_bytes()[..16]);
-    first
+    let mut prefix = [0; 16];
+    prefix.copy_from_slice(&blake3::hash(bytes).as_bytes()[..16]);
+    prefix
 }
 
 /// A message between marshals.
@@ -74,46 +74,52 @@
     notice: Notice,
     pieces: Vec<Option<Vec<u8>>>,
     /// The complete state, once its digest has been verified.
-    whole: Option<Vec<u8>>,
+    complete: Option<Vec<u8>>,
     /// When each missing piece was last requested.
-    asked: Vec<Option<Duration>>,
+    requested_at: Vec<Option<Duration>>,
     /// How many tree levels above the direct parent the requests go to, and since when.
-    higher: usize,
-    since: Duration,
+    skipped: usize,
+    progress_at: Duration,
     /// Position in the order of requests.
-    wanted: u64,
+    sequence: u64,
 }
 
 /// Token bucket.
-struct Store {
-    left: f64,
-    at: Duration,
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Duration,
 }
 
-impl Store {
+impl TokenBucket {
     fn take(&mut self, now: Duration, rate: f64) -> bool {
-        self.left = (self.left + rate * now.saturating_sub(self.at).as_secs_f64()).min(rate);
-        self.at = now;
-        let has = self.left >= 1.0;
-        self.left -= f64::from(u8::from(has));
-        has
+        self.tokens = (self.tokens + rate * now.saturating_sub(self.refilled_at).as_secs_f64()).min(rate);
+        self.refilled_at = now;
+        let available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(available));
+        available
     }
 }
 
 /// The states of one marshal: its own, and those that it fetches from others.
 pub struct States {
     me: Number,
-    all: BTreeMap<Key, State>,
-    asks: Store,
-    answers: Store,
-    count: u64,
+    states: BTreeMap<Key, State>,
+    request_budget: TokenBucket,
+    answer_budget: TokenBucket,
+    next_sequence: u64,
 }
 
 impl States {
     /// No states yet.
     pub fn new(me: Number, now: Duration) -> Self {
-        let store = |rate| Store { left: rate, at: now };
-        States { me, all: BTreeMap::new(), asks: store(ASKED), answers: store(ANSWERED), count: 0 }
+        let bucket = |rate| TokenBucket { tokens: rate, refilled_at: now };
+        States {
+            me,
+            states: BTreeMap::new(),
+            request_budget: bucket(MAX_REQUESTS_PER_SECOND),
+            answer_budget: bucket(MAX_PIECES_PER_SECOND),
+            next_sequence: 0,
+        }
     }
 
     /// Sets our own state and returns the notice to publish; `None` if it is too long or if we already have
@@ -121,44 +127,51 @@
     pub fn offer(&mut self, now: Duration, id: u16, version: u32, bytes: &[u8]) -> Option<Notice> {
         let notice = Notice::of(version, bytes)?;
         let key = Key { owner: self.me, id };
-        let own = self.all.keys().filter(|k| k.owner == self.me).count();
-        if own >= STATES && !self.all.contains_key(&key) {
+        let own = self.states.keys().filter(|k| k.owner == self.me).count();
+        if own >= STATES && !self.states.contains_key(&key) {
             return None;
         }
-        self.enter(now, key, notice);
-        if let Some(state) = self.all.get_mut(&key) {
+        self.insert_state(now, key, notice);
+        if let Some(state) = self.states.get_mut(&key) {
             state.pieces = bytes.chunks(PIECE_BYTES).map(|piece| Some(piece.to_vec())).collect();
-            state.whole = Some(bytes.to_vec());
+            state.complete = Some(bytes.to_vec());
         }
         Some(notice)
     }
 
     /// Starts to fetch another owner's state as its notice describes it; an earlier version is dropped.
     pub fn want(&mut self, now: Duration, key: Key, notice: Notice) {
-        let known = self.all.get(&key).is_some_and(|s| s.notice == notice);
+        let known = self.states.get(&key).is_some_and(|s| s.notice == notice);
         if !known && key.owner != self.me && notice.length as usize <= STATE_BYTES {
-            self.enter(now, key, notice);
+            self.insert_state(now, key, notice);
         }
     }
 
-    fn enter(&mut self, now: Duration, key: Key, notice: Notice) {
-        self.count += 1;
-        let (pieces, wanted) = (notice.pieces(), self.count);
-        let (blank, whole) = (vec![None; pieces], (pieces == 0).then(Vec::new));
-        let state =
-            State { notice, pieces: blank, whole, asked: vec![None; pieces], higher: 0, since: now, wanted };
-        self.all.insert(key, state);
-        if self.all.len() > STATES {
-            let others = self.all.iter().filter(|(k, _)| k.owner != self.me);
-            let first = others.min_by_key(|(_, s)| s.wanted).map(|(k, _)| *k);
-            first.into_iter().for_each(|k| drop(self.all.remove(&k)));
+    fn insert_state(&mut self, now: Duration, key: Key, notice: Notice) {
+        self.next_sequence += 1;
+        let (pieces, sequence) = (notice.pieces(), self.next_sequence);
+        let (empty, complete) = (vec![None; pieces], (pieces == 0).then(Vec::new));
+        let state = State {
+            notice,
+            pieces: empty,
+            complete,
+            requested_at: vec![None; pieces],
+            skipped: 0,
+            progress_at: now,
+            sequence,
+        };
+        self.states.insert(key, state);
+        if self.states.len() > STATES {
+            let others = self.states.iter().filter(|(k, _)| k.owner != self.me);
+            let oldest = others.min_by_key(|(_, s)| s.sequence).map(|(k, _)| *k);
+            oldest.into_iter().for_each(|k| drop(self.states.remove(&k)));
         }
     }
 
     /// A state's version and bytes, once complete.
     pub fn get(&self, key: Key) -> Option<(u32, &[u8])> {
-        let state = self.all.get(&key)?;
-        state.whole.as_deref().map(|whole| (state.notice.version, whole))
+        let state = self.states.get(&key)?;
+        state.complete.as_deref().map(|complete| (state.notice.version, complete))
     }
 
     /// Piece requests to send now. `marshals`: all configured marshals; `present`: whether a marshal is up.
@@ -166,17 +179,18 @@
         &mut self, now: Duration, marshals: &[Number], present: &dyn Fn(Number) -> bool,
     ) -> Vec<(Number, Word)> {
         let (me, mut out) = (self.me, Vec::new());
-        for (&key, state) in self.all.iter_mut().filter(|(_, s)| s.whole.is_none()) {
-            let above = above(me, key, marshals, present);
-            if now >= state.since + SILENT {
-                (state.higher, state.since) = ((state.higher + 1) % above.len().max(1), now);
+        for (&key, state) in self.states.iter_mut().filter(|(_, s)| s.complete.is_none()) {
+            let path = ancestors(me, key, marshals, present);
+            if now >= state.progress_at + PARENT_TIMEOUT {
+                (state.skipped, state.progress_at) = ((state.skipped + 1) % path.len().max(1), now);
             }
-            let Some(&to) = above.get(state.higher.min(above.len().saturating_sub(1))) else { continue };
+            let Some(&to) = path.get(state.skipped.min(path.len().saturating_sub(1))) else { continue };
             let version = state.notice.version;
-            for (piece, asked) in state.asked.iter_mut().enumerate() {
-                let due = state.pieces[piece].is_none() && asked.is_none_or(|at| now >= at + AGAIN);
-                if due && self.asks.take(now, ASKED) {
-                    *asked = Some(now);
+            for (piece, requested_at) in state.requested_at.iter_mut().enumerate() {
+                let due = state.pieces[piece].is_none()
+                    && requested_at.is_none_or(|at| now >= at + REQUEST_TIMEOUT);
+                if due && self.request_budget.take(now, MAX_REQUESTS_PER_SECOND) {
+                    *requested_at = Some(now);
                     out.push((to, Word::Ask { key, version, piece: piece as u16 }));
                 }
             }
@@ -188,34 +202,41 @@
     pub fn hear(&mut self, now: Duration, word: Word) -> Option<Word> {
         match word {
             Word::Ask { key, version, piece } => {
-                let state = self.all.get(&key).filter(|s| s.notice.version == version)?;
+                let state = self.states.get(&key).filter(|s| s.notice.version == version)?;
                 let bytes = state.pieces.get(usize::from(piece))?.clone()?;
-                self.answers.take(now, ANSWERED).then_some(Word::Piece { key, version, piece, bytes })
+                self.answer_budget.take(now, MAX_PIECES_PER_SECOND).then_some(Word::Piece {
+                    key,
+                    version,
+                    piece,
+                    bytes,
+                })
             }
             Word::Piece { key, version, piece, bytes } => {
-                let state =
-                    self.all.get_mut(&key).filter(|s| s.notice.version == version && s.whole.is_none())?;
+                let state = self
+                    .states
+                    .get_mut(&key)
+                    .filter(|s| s.notice.version == version && s.complete.is_none())?;
                 let last = usize::from(piece) + 1 == state.pieces.len();
                 let length = if last {
                     state.notice.length as usize - usize::from(piece) * PIECE_BYTES
                 } else {
                     PIECE_BYTES
                 };
-                let place = state
+                let slot = state
                     .pieces
                     .get_mut(usize::from(piece))
                     .filter(|p| p.is_none() && bytes.len() == length)?;
-                (*place, state.since) = (Some(bytes), now);
+                (*slot, state.progress_at) = (Some(bytes), now);
                 if state.pieces.iter().all(Option::is_some) {
-                    let whole: Vec<u8> = state.pieces.iter().flatten().flatten().copied().collect();
-                    if digest(&whole) == state.notice.digest {
-                        state.whole = Some(whole);
+                    let complete: Vec<u8> = state.pieces.iter().flatten().flatten().copied().collect();
+                    if digest(&complete) == state.notice.digest {
+                        state.complete = Some(complete);
                     } else {
                         // A marshal on the way passed on wrong bytes: fetch everything again, from one level
                         // higher.
                         state.pieces.fill(None);
-                        state.asked.fill(None);
-                        (state.higher, state.since) = (state.higher + 1, now);
+                        state.requested_at.fill(None);
+                        (state.skipped, state.progress_at) = (state.skipped + 1, now);
                     }
                 }
                 None
@@ -226,12 +247,12 @@
 
 /// The marshals to fetch a state from, nearest first, the owner last. The tree consists of the owner at the
 /// root and the marshals that are present, in the order given by the key.
-fn above(me: Number, key: Key, marshals: &[Number], present: &dyn Fn(Number) -> bool) -> Vec<Number> {
+fn ancestors(me: Number, key: Key, marshals: &[Number], present: &dyn Fn(Number) -> bool) -> Vec<Number> {
     let others: Vec<Number> = marshals.iter().copied().filter(|n| *n != key.owner).collect();
     let group = u64::from(key.owner) << 16 | u64::from(key.id);
-    let there = order(group, &others).into_iter().filter(|n| *n == me || present(*n));
-    let chain: Vec<Number> = std::iter::once(key.owner).chain(there).collect();
-    let place = chain.iter().position(|n| *n == me).unwrap_or(0);
-    let up = |i: &usize| (*i > 0).then(|| (i - 1) / FAN);
-    std::iter::successors(Some(place), up).skip(1).map(|i| chain[i]).collect()
+    let present_in_order = order(group, &others).into_iter().filter(|n| *n == me || present(*n));
+    let chain: Vec<Number> = std::iter::once(key.owner).chain(present_in_order).collect();
+    let position = chain.iter().position(|n| *n == me).unwrap_or(0);
+    let parent = |i: &usize| (*i > 0).then(|| (i - 1) / FAN_OUT);
+    std::iter::successors(Some(position), parent).skip(1).map(|i| chain[i]).collect()
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -2,36 +2,36 @@
 //! `docs/failover.md`.
 //!
 //! The marshals of a zone report through the tree of their group to its leader ([`ivydrift_leases`]). The
-//! leader decides which fraction of the zone's traffic leaves ([`course`]) from what many marshals observe
-//! ([`sight`]), and asks the leaders of other zones for spare capacity. Spare capacity is leased for a short
-//! time and by votes: each marshal gives its vote, and with it its share of its zone's spare capacity, to one
-//! leader at a time, so that leaders which do not know of each other never lease the same capacity twice.
-//! What was leased goes down the tree as leases.
+//! leader decides which fraction of the zone's traffic leaves ([`controller`]) from what many marshals
+//! observe ([`sight`]), and asks the leaders of other zones for spare capacity. Spare capacity is leased for
+//! a short time and by votes: each marshal gives its vote, and with it its share of its zone's spare
+//! capacity, to one leader at a time, so that leaders which do not know of each other never lease the same
+//! capacity twice. What was leased goes down the tree as leases.
 //!
 //! The crate uses no socket, clock or thread, and never compares the clocks of two machines.
 #![forbid(unsafe_code)]
 
-pub mod course;
+pub mod controller;
 pub mod message;
 pub mod sight;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use course::{Course, Stage};
+use controller::{Controller, Stage};
 use ivydrift_leases::ledger::Ledger;
-use ivydrift_leases::{order::order, silent, Place, Tree, FRESH, GRANT, LEASE};
-pub use ivydrift_leases::{Number, BEAT, FAN};
+use ivydrift_leases::{order::order, timed_out, Place, Tree, GRANT_TERM, LEASE_TERM, REPORT_LIFETIME};
+pub use ivydrift_leases::{Number, FAN_OUT, TICK_INTERVAL};
 use message::{Message, Move, Told, ZONES};
 use sight::{Sight, Sights};
 
 /// Fraction of a zone's capacity that its own clients may use, and up to which spare capacity is leased to
 /// others.
-const BEARS: [f32; 2] = [0.85, 0.8];
+const UTILIZATION_LIMITS: [f32; 2] = [0.85, 0.8];
 /// Fraction of a zone's capacity that is used before any RPC sent there has been answered.
-const UNSEEN: f32 = 0.25;
+const INITIAL_UTILIZATION: f32 = 0.25;
 /// Far zones are asked once near ones have left this fraction of the demand unplaced for this long.
-const LACKING: (f32, Duration) = (0.02, Duration::from_millis(750));
+const ASK_FAR: (f32, Duration) = (0.02, Duration::from_millis(750));
 
 /// A marshal's place in the fleet.
 #[derive(Clone, Debug)]
@@ -47,13 +47,13 @@
     pub distance: Vec<u8>,
     /// Warm-up time of a cold node.
     pub warm: Duration,
-    /// Maximum number of marshals that report directly to one; [`FAN`] except in tests of deep trees.
-    pub fan: usize,
+    /// Maximum number of marshals that report directly to one; [`FAN_OUT`] except in tests of deep trees.
+    pub fan_out: usize,
 }
 
 /// A marshal's observations at a tick.
 #[derive(Clone, Debug, Default)]
-pub struct Look {
+pub struct Snapshot {
     /// RPCs per second from its clients.
     pub demand: f32,
     /// Its observation of each zone.
@@ -66,7 +66,7 @@
     /// A datagram to send.
     Send { to: Number, bytes: Vec<u8> },
     /// A log line about a stage change, with its reason.
-    Said(String),
+    Log(String),
 }
 
 /// What this marshal may do now.
@@ -86,7 +86,7 @@
     /// The marshal that we ask, and since when.
     asked: Option<(Number, Duration)>,
     /// When it last answered.
-    heard: Option<Duration>,
+    heard_at: Option<Duration>,
     version: u32,
     rate: f32,
     until: Duration,
@@ -95,7 +95,7 @@
 }
 
 /// The leader of another zone that asks us.
-struct Asker {
+struct Requester {
     zone: usize,
     life: u32,
     stamp: u64,
@@ -112,13 +112,13 @@
     /// The marshals of each zone in the order that all agree on.
     order: Vec<Vec<Number>>,
     /// Failover state of our zone, while we lead it.
-    course: Course,
+    controller: Controller,
     sources: Vec<Source>,
     /// Since when near zones have left demand unplaced.
-    lacking: Option<Duration>,
-    askers: BTreeMap<Number, Asker>,
+    unplaced_since: Option<Duration>,
+    requesters: BTreeMap<Number, Requester>,
     /// What we leased to other zones' leaders.
-    lent: Ledger,
+    ledger: Ledger,
     out: Vec<Out>,
 }
 
@@ -140,17 +140,17 @@
             life: site.life as u32,
             group: site.zone as u64,
             marshals: site.marshals[site.zone].clone(),
-            fan: site.fan,
-            lots: zones,
+            fan_out: site.fan_out,
+            resources: zones,
         };
         Some(Failover {
             tree: Tree::new(place, now)?,
             order: site.marshals.iter().enumerate().map(|(zone, all)| order(zone as u64, all)).collect(),
-            course: Course::default(),
+            controller: Controller::default(),
             sources: (0..zones).map(|_| Source::default()).collect(),
-            lacking: None,
-            askers: BTreeMap::new(),
-            lent: Ledger::default(),
+            unplaced_since: None,
+            requesters: BTreeMap::new(),
+            ledger: Ledger::default(),
             out: Vec::new(),
             site,
         })
@@ -164,86 +164,90 @@
     /// part is pushed back. Once the last plan is too old, all traffic stays local.
     pub fn plan(&self, now: Duration) -> Plan {
         let rates = self.tree.own(now);
-        let (stage, part) = match (self.tree.speaks_to(), self.tree.told(now)) {
-            (None, _) => (self.course.stage, self.course.part),
-            (_, Some(told)) => (message::stage(told.stage), told.part),
+        let (stage, part) = match (self.tree.parent_number(), self.tree.instruction(now)) {
+            (None, _) => (self.controller.stage, self.controller.part),
+            (_, Some(told)) => (message::decode_stage(told.stage), told.part),
             (_, None) => (Stage::Near, 0.0),
         };
         Plan { stage, part, rates }
     }
 
     /// The marshal that this one reports to; `None` if it is its zone's leader as far as it knows.
-    pub fn speaks_to(&self) -> Option<Number> {
-        self.tree.speaks_to()
+    pub fn parent_number(&self) -> Option<Number> {
+        self.tree.parent_number()
     }
 
-    /// Advances the state; to be called every [`BEAT`]. `present`: whether membership sees a marshal as up.
-    pub fn beat(&mut self, now: Duration, look: &Look, present: &dyn Fn(Number) -> bool) -> Vec<Out> {
-        self.askers.retain(|_, a| now < a.seen + FRESH);
-        self.lent.tidy(now);
-        let turn = self.tree.beat(now, present);
-        if turn.took_over {
+    /// Advances the state; to be called every [`TICK_INTERVAL`]. `present`: whether membership sees a marshal
+    /// as up.
+    pub fn tick(&mut self, now: Duration, snapshot: &Snapshot, present: &dyn Fn(Number) -> bool) -> Vec<Out> {
+        self.requesters.retain(|_, requester| now < requester.seen + REPORT_LIFETIME);
+        self.ledger.expire(now);
+        let outcome = self.tree.tick(now, present);
+        if outcome.became_leader {
             // A new leader continues from the zone's current stage.
-            let told = self.tree.last_told();
-            (self.course.stage, self.course.part) = (message::stage(told.stage), told.part);
+            let told = self.tree.last_instruction();
+            (self.controller.stage, self.controller.part) = (message::decode_stage(told.stage), told.part);
         }
         let zones = self.order.len();
-        let sight = |z: usize| look.zones.get(z).copied().unwrap_or_default();
+        let sight = |z: usize| snapshot.zones.get(z).copied().unwrap_or_default();
         let mut sights: Vec<Sights> = (0..zones).map(|z| Sights::of(&sight(z))).collect();
-        let mut demand = look.demand.max(0.0);
-        for told in self.tree.below(now) {
+        let mut demand = snapshot.demand.max(0.0);
+        for told in self.tree.child_reports(now) {
             demand += told.demand;
-            sights.iter_mut().zip(&told.sights).for_each(|(a, b)| a.add(b));
+            sights.iter_mut().zip(&told.sights).for_each(|(merged, child)| merged.add(child));
         }
-        if turn.to.is_none() {
+        if outcome.parent.is_none() {
             self.decide(now, demand, &sights, present);
-        } else if let Some((to, up)) = self.tree.up(now, Told { demand, sights }) {
+        } else if let Some((to, up)) = self.tree.report(now, Told { demand, sights }) {
             self.send(to, Message::Up(up));
         }
-        for (to, down) in self.tree.share(now, look.demand.max(0.0), |told| told.demand) {
+        for (to, down) in self.tree.lease_out(now, snapshot.demand.max(0.0), |told| told.demand) {
             self.send(to, Message::Down(down));
         }
         std::mem::take(&mut self.out)
     }
 
-    // ---- leader
-    // ----------------------------------------------------------------------------------------------
+    // ---- leader ----
 
     fn decide(&mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool) {
-        let home = sights[self.site.zone];
-        let bears = home.bears(BEARS[0]);
-        let before = self.course.stage;
-        if let Some(bears) = bears {
-            self.course.step(now, demand, bears, self.site.warm);
+        let own_zone = sights[self.site.zone];
+        let sustainable = own_zone.sustainable_rate(UTILIZATION_LIMITS[0]);
+        let before = self.controller.stage;
+        if let Some(sustainable) = sustainable {
+            self.controller.step(now, demand, sustainable, self.site.warm);
         }
-        let stage = self.course.stage;
+        let stage = self.controller.stage;
         if stage != before {
-            let (from, to, part) = (before.word(), stage.word(), 100.0 * self.course.part);
-            let (bears, seen) = (bears.unwrap_or(0.0), home.whole().unwrap_or(1.0));
-            self.out.push(Out::Said(format!(
+            let (from, to, part) = (before.word(), stage.word(), 100.0 * self.controller.part);
+            let (sustainable, seen) = (sustainable.unwrap_or(0.0), own_zone.answered().unwrap_or(1.0));
+            self.out.push(Out::Log(format!(
                 "zone {}: {from} to {to}, {part:.0}% of traffic to leave: demand {demand:.1} RPCs/s, its nodes \
-                 can take {bears:.1}, {:.0}% of picks answered as observed by {} marshals",
+                 can take {sustainable:.1}, {:.0}% of picks answered as observed by {} marshals",
                 self.site.zone,
                 100.0 * seen,
-                home.witnesses(),
+                own_zone.observers(),
             )));
         }
-        self.seek(now, demand, sights, present);
-        self.grant(now, demand, &home);
+        self.request_capacity(now, demand, sights, present);
+        self.grant_capacity(now, demand, &own_zone);
     }
 
     /// Asks other zones for spare capacity, near ones first, and uses what they granted as far as we observe
     /// spare capacity there ourselves.
-    fn seek(&mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool) {
+    fn request_capacity(
+        &mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool,
+    ) {
         let zones = self.order.len();
-        let mut byway: Vec<usize> = (0..zones).filter(|z| *z != self.site.zone).collect();
-        byway.sort_by_key(|z| self.site.distance[*z]);
-        let want = demand * self.course.part;
+        let mut other_zones: Vec<usize> = (0..zones).filter(|z| *z != self.site.zone).collect();
+        other_zones.sort_by_key(|z| self.site.distance[*z]);
+        let want = demand * self.controller.part;
         // A zone that by mistake reports ten times its spare capacity is believed only up to what we observe.
-        let believed = |z: usize| {
+        let usable = |z: usize| {
             // Until the first of our RPCs has been answered there, go by the node list and start low.
-            let first = sights[z].bears(UNSEEN).unwrap_or(0.0);
-            let seen = sights[z].room(BEARS[0]).map_or(first, |room| sights[z].sent + room.max(0.0));
+            let first = sights[z].sustainable_rate(INITIAL_UTILIZATION).unwrap_or(0.0);
+            let seen = sights[z]
+                .spare_rate(UTILIZATION_LIMITS[0])
+                .map_or(first, |spare| sights[z].sent + spare.max(0.0));
             let source = &self.sources[z];
             if now < source.until {
                 source.rate.min(seen)
@@ -251,32 +255,33 @@
                 0.0
             }
         };
-        let (mut left, mut rates, mut until) = (want, vec![0.0; zones], now + LEASE);
+        let (mut unplaced, mut rates, mut until) = (want, vec![0.0; zones], now + LEASE_TERM);
         for far in 1..=2 {
             // Zones at the same distance take equal fractions of what they granted.
-            let like: Vec<usize> = byway.iter().copied().filter(|z| self.site.distance[*z] == far).collect();
-            let given: f32 = like.iter().map(|z| believed(*z)).sum();
-            let part = if given > left { left / given } else { 1.0 };
-            for z in like {
-                rates[z] = part * believed(z);
+            let equidistant: Vec<usize> =
+                other_zones.iter().copied().filter(|z| self.site.distance[*z] == far).collect();
+            let granted: f32 = equidistant.iter().map(|z| usable(*z)).sum();
+            let part = if granted > unplaced { unplaced / granted } else { 1.0 };
+            for z in equidistant {
+                rates[z] = part * usable(z);
                 if rates[z] > 0.0 {
                     until = until.min(self.sources[z].until);
                 }
             }
-            left = (left - part * given).max(0.0);
+            unplaced = (unplaced - part * granted).max(0.0);
         }
-        if left <= LACKING.0 * demand {
-            self.lacking = None;
-        } else if self.lacking.is_none() {
-            self.lacking = Some(now);
+        if unplaced <= ASK_FAR.0 * demand {
+            self.unplaced_since = None;
+        } else if self.unplaced_since.is_none() {
+            self.unplaced_since = Some(now);
         }
-        let far_too = self.lacking.is_some_and(|since| now >= since + LACKING.1);
-        let told = Move { stage: message::code(self.course.stage), part: self.course.part };
-        self.tree.hold(rates.clone(), until, told);
-        for &z in &byway {
+        let ask_far = self.unplaced_since.is_some_and(|since| now >= since + ASK_FAR.1);
+        let told = Move { stage: message::encode_stage(self.controller.stage), part: self.controller.part };
+        self.tree.set_lease(rates.clone(), until, told);
+        for &z in &other_zones {
             let near = self.site.distance[z] <= 1;
-            let wish = rates[z] + if near || far_too { left } else { 0.0 };
-            let fits = self.tree.fits(z);
+            let wish = rates[z] + if near || ask_far { unplaced } else { 0.0 };
+            let fits = self.tree.within_lease(z);
             let source = &mut self.sources[z];
             if fits {
                 source.holds = source.version;
@@ -286,15 +291,15 @@
                 continue;
             }
             if let Some((number, since)) = source.asked {
-                if silent(now, since, source.heard) {
-                    self.tree.pass_over(now, number);
+                if timed_out(now, since, source.heard_at) {
+                    self.tree.skip(now, number);
                 }
             }
-            let fits = |n: &&Number| present(**n) && !self.tree.is_passed_over(**n);
+            let fits = |n: &&Number| present(**n) && !self.tree.is_skipped(**n);
             let Some(&to) = self.order[z].iter().find(fits) else { continue };
-            if source.asked.is_none_or(|a| a.0 != to) {
+            if source.asked.is_none_or(|addressee| addressee.0 != to) {
                 // Another leader grants now: the earlier grant expires by itself and is not used beside it.
-                (source.asked, source.heard) = (Some((to, now)), None);
+                (source.asked, source.heard_at) = (Some((to, now)), None);
                 (source.version, source.holds) = (0, 0);
             }
             let (life, stamp, zone, holds) = (self.tree.life(), ms(now), self.site.zone as u16, source.holds);
@@ -305,82 +310,86 @@
 
     /// Leases our zone's spare capacity to the leaders that ask: what they already use, and of the remainder
     /// the share that our votes are of all the zone's marshals.
-    fn grant(&mut self, now: Duration, demand: f32, home: &Sights) {
-        if self.askers.is_empty() {
+    fn grant_capacity(&mut self, now: Duration, demand: f32, own_zone: &Sights) {
+        if self.requesters.is_empty() {
             return;
         }
-        let weight = self.tree.lend_by_voices(now);
-        let using: f32 = self.askers.iter().map(|(n, a)| a.using.min(self.lent.held(*n))).sum();
+        let vote_share = self.tree.lend_by_votes(now);
+        let using: f32 =
+            self.requesters.iter().map(|(n, requester)| requester.using.min(self.ledger.max_rate(*n))).sum();
         // Our own clients whose traffic is away come first.
-        let away = demand * self.course.part;
-        let room = home.room(BEARS[1]).map_or(f32::MIN, |room| room - away);
-        let total = if room == f32::MIN {
+        let displaced = demand * self.controller.part;
+        let spare = own_zone.spare_rate(UTILIZATION_LIMITS[1]).map_or(f32::MIN, |spare| spare - displaced);
+        let total = if spare == f32::MIN {
             0.0
-        } else if room < 0.0 || self.course.stage == Stage::Out {
-            (using + room.min(0.0)).max(0.0)
+        } else if spare < 0.0 || self.controller.stage == Stage::Out {
+            (using + spare.min(0.0)).max(0.0)
         } else {
-            using + weight * room
+            using + vote_share * spare
         };
         // Never more than the remaining nodes bear beside our own traffic: nodes that are gone do not count
         // as busy.
-        let total = total.min((home.bears(BEARS[1]).unwrap_or(0.0) - home.sent).max(0.0));
+        let total = total
+            .min((own_zone.sustainable_rate(UTILIZATION_LIMITS[1]).unwrap_or(0.0) - own_zone.sent).max(0.0));
         // Near zones first; at equal distance the smaller wish first, each up to an equal share of the
         // remainder.
-        let mut order: Vec<Number> = self.askers.keys().copied().collect();
+        let mut order: Vec<Number> = self.requesters.keys().copied().collect();
         let key = |n: &Number| {
-            let a = &self.askers[n];
-            (self.site.distance[a.zone], a.wish)
+            let requester = &self.requesters[n];
+            (self.site.distance[requester.zone], requester.wish)
         };
         order.sort_by(|a, b| key(a).0.cmp(&key(b).0).then(key(a).1.total_cmp(&key(b).1)));
-        let (mut left, mut wishes) = (total, Vec::new());
+        let (mut unplaced, mut wishes) = (total, Vec::new());
         for (i, number) in order.iter().enumerate() {
-            let a = &self.askers[number];
+            let requester = &self.requesters[number];
             let peers = order[i..].iter().filter(|n| key(n).0 == key(number).0).count().max(1);
-            let wish = a.wish.min(left / peers as f32).max(0.0);
-            left = (left - wish).max(0.0);
+            let wish = requester.wish.min(unplaced / peers as f32).max(0.0);
+            unplaced = (unplaced - wish).max(0.0);
             wishes.push((*number, wish));
         }
-        let rates = self.lent.lend(now, self.tree.version(), &wishes, total, now + GRANT);
+        let rates = self.ledger.lend(now, self.tree.version(), &wishes, total, now + GRANT_TERM);
         for ((to, _), rate) in wishes.into_iter().zip(rates) {
-            let a = &self.askers[&to];
-            let (echo, of, zone) = (a.stamp, a.life, self.site.zone as u16);
-            let (version, valid) = (self.tree.version(), ms(GRANT) as u32);
+            let requester = &self.requesters[&to];
+            let (echo, of, zone) = (requester.stamp, requester.life, self.site.zone as u16);
+            let (version, valid) = (self.tree.version(), ms(GRANT_TERM) as u32);
             self.send(to, Message::Grant { echo, of, zone, version, rate, valid });
         }
     }
 
-    // ---- received messages
-    // -----------------------------------------------------------------------------------
+    // ---- received messages ----
 
     /// Handles a datagram from another marshal; a malformed one is ignored.
-    pub fn hear(&mut self, now: Duration, from: Number, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Duration, from: Number, bytes: &[u8]) {
         let Some(message) = Message::read(bytes) else { return };
         let at = |stamp: u64, span: u32| Duration::from_millis(stamp.saturating_add(span.into()));
         let zones = self.order.len();
         match message {
             Message::Up(up) => {
                 if up.body.sights.len() == zones {
-                    self.tree.hear_up(now, from, up);
+                    self.tree.receive_report(now, from, up);
                 }
             }
-            Message::Down(down) => self.tree.hear_down(now, from, down),
+            Message::Down(down) => self.tree.receive_lease(now, from, down),
             Message::Ask { life, stamp, zone, wish, using, holds } => {
                 let zone = usize::from(zone);
-                let theirs =
+                let valid_zone =
                     zone != self.site.zone && self.order.get(zone).is_some_and(|o| o.contains(&from));
-                let newer = self.askers.get(&from).is_none_or(|a| a.life != life || a.stamp < stamp);
-                if theirs && newer && self.speaks_to().is_none() {
-                    self.lent.confirm(from, holds);
-                    self.askers.insert(from, Asker { zone, life, stamp, wish, using, seen: now });
+                let newer = self
+                    .requesters
+                    .get(&from)
+                    .is_none_or(|requester| requester.life != life || requester.stamp < stamp);
+                if valid_zone && newer && self.parent_number().is_none() {
+                    self.ledger.confirm(from, holds);
+                    self.requesters.insert(from, Requester { zone, life, stamp, wish, using, seen: now });
                 }
             }
             Message::Grant { echo, of, zone, version, rate, valid } => {
                 let zone = usize::from(zone);
-                let steward = self.speaks_to().is_none() && of == self.life();
+                let leading = self.parent_number().is_none() && of == self.life();
                 let Some(source) = self.sources.get_mut(zone) else { return };
-                let asked = source.asked.is_some_and(|a| a.0 == from);
-                if asked && steward && ms(now) >= echo {
-                    source.heard = Some(now);
+                let asked = source.asked.is_some_and(|addressee| addressee.0 == from);
+                if asked && leading && ms(now) >= echo {
+                    source.heard_at = Some(now);
                     if version > source.version {
                         (source.version, source.rate, source.until) = (version, rate, at(echo, valid));
                     }
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -3,7 +3,7 @@
 use ivydrift_leases::words::{Down, Up};
 use serde::{Deserialize, Serialize};
 
-use crate::course::Stage;
+use crate::controller::Stage;
 use crate::sight::Sights;
 
 /// Maximum number of zones, so that a message fits a datagram.
@@ -18,7 +18,7 @@
     pub sights: Vec<Sights>,
 }
 
-/// Body of a message down a zone's tree: the zone's failover stage, see [`code`].
+/// Body of a message down a zone's tree: the zone's failover stage, see [`encode_stage`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Move {
     /// The stage's code.
@@ -58,21 +58,21 @@
     /// Decodes a message; `None` if it is malformed or holds a value out of range.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let read: Message = postcard::from_bytes(bytes).ok()?;
-        let fine = |x: f32| x.is_finite() && x >= 0.0;
-        let sound = match &read {
-            Message::Up(Up { body, .. }) => fine(body.demand) && body.sights.len() <= ZONES,
+        let valid_number = |x: f32| x.is_finite() && x >= 0.0;
+        let valid = match &read {
+            Message::Up(Up { body, .. }) => valid_number(body.demand) && body.sights.len() <= ZONES,
             Message::Down(Down { rates, body, .. }) => {
-                fine(body.part) && rates.len() <= ZONES && rates.iter().all(|r| fine(*r))
+                valid_number(body.part) && rates.len() <= ZONES && rates.iter().all(|r| valid_number(*r))
             }
-            Message::Ask { wish, using, .. } => fine(*wish) && fine(*using),
-            Message::Grant { rate, .. } => fine(*rate),
+            Message::Ask { wish, using, .. } => valid_number(*wish) && valid_number(*using),
+            Message::Grant { rate, .. } => valid_number(*rate),
         };
-        sound.then_some(read)
+        valid.then_some(read)
     }
 }
 
 /// The stage of a code; an unknown code counts as [`Stage::Back`].
-pub fn stage(code: u8) -> Stage {
+pub fn decode_stage(code: u8) -> Stage {
     match code {
         0 => Stage::Near,
         1 => Stage::Out,
@@ -81,6 +81,6 @@
 }
 
 /// The code of a stage in [`Move`].
-pub fn code(stage: Stage) -> u8 {
+pub fn encode_stage(stage: Stage) -> u8 {
     stage as u8
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -27,25 +27,25 @@
 pub type Number = u16;
 
 /// Interval between the ticks of every marshal.
-pub const BEAT: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Default maximum number of marshals that report directly to one: what a marshal sends per tick does not
 /// grow with the fleet.
-pub const FAN: usize = 16;
+pub const FAN_OUT: usize = 16;
 /// Maximum term of a lease between groups.
-pub const GRANT: Duration = Duration::from_millis(2500);
+pub const GRANT_TERM: Duration = Duration::from_millis(2500);
 /// Maximum term of a lease within a group.
-pub const LEASE: Duration = Duration::from_millis(2000);
+pub const LEASE_TERM: Duration = Duration::from_millis(2000);
 /// How long a marshal that hears no more from its leader keeps to the last instruction; its leases have
 /// expired by then.
-pub const KEPT: Duration = Duration::from_millis(3000);
+pub const INSTRUCTION_LIFETIME: Duration = Duration::from_millis(3000);
 /// Duration of a vote given directly to the leader, and the addition for each further tree level.
-const PROMISE: [Duration; 2] = [Duration::from_millis(3500), Duration::from_millis(1000)];
+const VOTE_TERM: [Duration; 2] = [Duration::from_millis(3500), Duration::from_millis(1000)];
 /// How long a new life gives no vote: longer than any vote of an earlier life lasts.
-const NEWBORN: Duration = Duration::from_secs(7);
+const STARTUP_HOLD: Duration = Duration::from_secs(7);
 /// Time after which a marshal that does not answer is skipped, and for how long it is skipped.
-pub const SILENT: [Duration; 2] = [Duration::from_millis(1100), Duration::from_secs(10)];
+pub const SILENCE_LIMITS: [Duration; 2] = [Duration::from_millis(1100), Duration::from_secs(10)];
 /// How long a marshal's last report counts.
-pub const FRESH: Duration = Duration::from_millis(1100);
+pub const REPORT_LIFETIME: Duration = Duration::from_millis(1100);
 
 /// A marshal's place in a group.
 #[derive(Clone, Debug)]
@@ -57,15 +57,15 @@
     pub group: u64,
     /// All configured marshals of the group, the dead included.
     pub marshals: Vec<Number>,
-    /// Maximum number of marshals that report directly to one; [`FAN`] except in tests of deep trees.
-    pub fan: usize,
+    /// Maximum number of marshals that report directly to one; [`FAN_OUT`] except in tests of deep trees.
+    pub fan_out: usize,
     /// Number of resources that are leased.
-    pub lots: usize,
+    pub resources: usize,
 }
 
 /// The lease that we hold for ourselves and our subtree.
 #[derive(Clone, Debug, Default)]
-struct Held<D> {
+struct HeldLease<D> {
     of: u32,
     version: u32,
     rates: Vec<f32>,
@@ -77,10 +77,10 @@
 struct Parent {
     number: Number,
     /// Its latest time stamp, and its life.
-    nonce: u64,
+    latest_stamp: u64,
     life: u32,
     since: Duration,
-    heard: Option<Duration>,
+    heard_at: Option<Duration>,
 }
 
 /// A marshal that reports to us.
@@ -88,20 +88,20 @@
     life: u32,
     /// Its latest time stamp.
     stamp: u64,
-    seen: Duration,
+    seen_at: Duration,
     /// Until when its votes are ours.
-    ours: Duration,
+    votes_until: Duration,
     voices: u16,
     body: U,
 }
 
 /// Result of a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct TickOutcome {
     /// The marshal that we report to; `None` if we are the leader as far as we know.
-    pub to: Option<Number>,
+    pub parent: Option<Number>,
     /// Whether we became the leader at this tick.
-    pub took_over: bool,
+    pub became_leader: bool,
 }
 
 /// One marshal in the tree of its group. `U` is the body of reports up the tree, `D` that of messages down
@@ -109,20 +109,20 @@
 pub struct Tree<U, D> {
     place: Place,
     order: Vec<Number>,
-    begun: Duration,
+    started: Duration,
     version: u32,
     /// Number of tree levels below the leader.
     depth: u32,
     parent: Option<Parent>,
     /// The marshal to which our vote and those we passed on are given, which may be ourselves, and until
     /// when.
-    promised: (Number, Duration),
+    vote_given: (Number, Duration),
     /// Marshals that are skipped, and until when.
-    passed_over: BTreeMap<Number, Duration>,
+    skipped: BTreeMap<Number, Duration>,
     children: BTreeMap<Number, Child<U>>,
-    held: Held<D>,
-    /// The version of `held` that our whole subtree keeps to, with the life of the lender.
-    holds: (u32, u32),
+    held: HeldLease<D>,
+    /// The version of `max_rate` that our whole subtree keeps to, with the life of the lender.
+    confirmed: (u32, u32),
     /// What we leased out within the group, by resource.
     ledgers: Vec<Ledger>,
     /// The rates that we ourselves may use, and until when.
@@ -138,13 +138,13 @@
 }
 
 /// Whether a marshal that was addressed from `since` on has not answered for too long.
-pub fn silent(now: Duration, since: Duration, heard: Option<Duration>) -> bool {
-    now > heard.map_or(since, |at| at.max(since)) + SILENT[0]
+pub fn timed_out(now: Duration, since: Duration, heard_at: Option<Duration>) -> bool {
+    now > heard_at.map_or(since, |at| at.max(since)) + SILENCE_LIMITS[0]
 }
 
 /// How long a vote is given at this depth of the tree.
-fn promise(depth: u32) -> Duration {
-    PROMISE[0] + PROMISE[1] * depth.saturating_sub(1)
+fn vote_term(depth: u32) -> Duration {
+    VOTE_TERM[0] + VOTE_TERM[1] * depth.saturating_sub(1)
 }
 
 impl<U, D: Clone + Default> Tree<U, D> {
@@ -155,18 +155,18 @@
         }
         Some(Tree {
             order: order::order(place.group, &place.marshals),
-            begun: now,
+            started: now,
             version: 0,
             depth: 0,
             parent: None,
             // An earlier life may have given our vote away.
-            promised: (Number::MAX, now + NEWBORN),
-            passed_over: BTreeMap::new(),
+            vote_given: (Number::MAX, now + STARTUP_HOLD),
+            skipped: BTreeMap::new(),
             children: BTreeMap::new(),
-            held: Held::default(),
-            holds: (0, 0),
-            ledgers: vec![Ledger::default(); place.lots],
-            own: (vec![0.0; place.lots], now),
+            held: HeldLease::default(),
+            confirmed: (0, 0),
+            ledgers: vec![Ledger::default(); place.resources],
+            own: (vec![0.0; place.resources], now),
             place,
         })
     }
@@ -182,7 +182,7 @@
     }
 
     /// The marshal that we report to; `None` if we are the leader as far as we know.
-    pub fn speaks_to(&self) -> Option<Number> {
+    pub fn parent_number(&self) -> Option<Number> {
         self.parent.as_ref().map(|p| p.number)
     }
 
@@ -196,146 +196,149 @@
         if now < self.own.1 {
             self.own.0.clone()
         } else {
-            vec![0.0; self.place.lots]
+            vec![0.0; self.place.resources]
         }
     }
 
     /// The last instruction from up the tree, as long as it is to be kept to.
-    pub fn told(&self, now: Duration) -> Option<&D> {
-        (now < self.held.until + KEPT).then_some(&self.held.body)
+    pub fn instruction(&self, now: Duration) -> Option<&D> {
+        (now < self.held.until + INSTRUCTION_LIFETIME).then_some(&self.held.body)
     }
 
     /// The last instruction, however old: a new leader continues from it.
-    pub fn last_told(&self) -> &D {
+    pub fn last_instruction(&self) -> &D {
         &self.held.body
     }
 
     /// Skips a marshal that did not answer for a while.
-    pub fn pass_over(&mut self, now: Duration, number: Number) {
-        self.passed_over.insert(number, now + SILENT[1]);
+    pub fn skip(&mut self, now: Duration, number: Number) {
+        self.skipped.insert(number, now + SILENCE_LIMITS[1]);
     }
 
     /// Whether the marshal is being skipped.
-    pub fn is_passed_over(&self, number: Number) -> bool {
-        self.passed_over.contains_key(&number)
+    pub fn is_skipped(&self, number: Number) -> bool {
+        self.skipped.contains_key(&number)
     }
 
-    /// Advances the state; to be called first at every [`BEAT`]. `present`: whether membership sees a marshal
-    /// as up.
-    pub fn beat(&mut self, now: Duration, present: &dyn Fn(Number) -> bool) -> Turn {
+    /// Advances the state; to be called first at every [`TICK_INTERVAL`]. `present`: whether membership sees
+    /// a marshal as up.
+    pub fn tick(&mut self, now: Duration, present: &dyn Fn(Number) -> bool) -> TickOutcome {
         self.version += 1;
-        self.passed_over.retain(|_, until| now < *until);
-        self.children.retain(|_, c| now < c.seen + GRANT || now < c.ours);
-        self.ledgers.iter_mut().for_each(|l| l.tidy(now));
-        let silent_one = self.parent.as_ref().filter(|p| silent(now, p.since, p.heard)).map(|p| p.number);
-        silent_one.into_iter().for_each(|number| self.pass_over(now, number));
+        self.skipped.retain(|_, until| now < *until);
+        self.children.retain(|_, c| now < c.seen_at + GRANT_TERM || now < c.votes_until);
+        self.ledgers.iter_mut().for_each(|l| l.expire(now));
+        let silent_parent =
+            self.parent.as_ref().filter(|p| timed_out(now, p.since, p.heard_at)).map(|p| p.number);
+        silent_parent.into_iter().for_each(|number| self.skip(now, number));
         let me = self.place.me;
-        let fits = |n: &&Number| **n == me || (present(**n) && !self.passed_over.contains_key(n));
+        let fits = |n: &&Number| **n == me || (present(**n) && !self.skipped.contains_key(n));
         let chain: Vec<Number> = self.order.iter().filter(fits).copied().collect();
         let place = chain.iter().position(|n| *n == me).unwrap_or(0);
-        let fan = self.place.fan.max(1);
-        let above = |i: usize| (i > 0).then(|| (i - 1) / fan);
-        self.depth = std::iter::successors(Some(place), |i| above(*i)).count() as u32 - 1;
-        let to = above(place).map(|i| chain[i]);
-        let changed = self.speaks_to() != to;
+        let fan_out = self.place.fan_out.max(1);
+        let parent_position = |i: usize| (i > 0).then(|| (i - 1) / fan_out);
+        self.depth = std::iter::successors(Some(place), |i| parent_position(*i)).count() as u32 - 1;
+        let to = parent_position(place).map(|i| chain[i]);
+        let changed = self.parent_number() != to;
         if changed {
-            self.follow(now, to);
+            self.set_parent(now, to);
         }
-        Turn { to, took_over: changed && to.is_none() }
+        TickOutcome { parent: to, became_leader: changed && to.is_none() }
     }
 
-    fn follow(&mut self, now: Duration, to: Option<Number>) {
+    fn set_parent(&mut self, now: Duration, to: Option<Number>) {
         // Our lease came from another lender. Our subtree may use its leases until they expire; the ledgers
         // still count them.
-        (self.held, self.own.1) = (Held { body: self.held.body.clone(), ..Held::default() }, now);
-        self.holds = (0, 0);
-        self.parent = to.map(|number| Parent { number, nonce: 0, life: 0, since: now, heard: None });
+        (self.held, self.own.1) = (HeldLease { body: self.held.body.clone(), ..HeldLease::default() }, now);
+        self.confirmed = (0, 0);
+        self.parent =
+            to.map(|number| Parent { number, latest_stamp: 0, life: 0, since: now, heard_at: None });
     }
 
     /// The recent reports of our direct children in the tree.
-    pub fn below(&self, now: Duration) -> impl Iterator<Item = &U> {
-        self.children.values().filter(move |c| now < c.seen + FRESH).map(|c| &c.body)
+    pub fn child_reports(&self, now: Duration) -> impl Iterator<Item = &U> {
+        self.children.values().filter(move |c| now < c.seen_at + REPORT_LIFETIME).map(|c| &c.body)
     }
 
     /// The votes that we can pass on or lease by, our own included.
-    pub fn voices(&self, now: Duration) -> u16 {
+    pub fn votes(&self, now: Duration) -> u16 {
         // A vote may be passed on or used only if it remains ours for longer than that takes.
-        let needed = if self.parent.is_some() { promise(self.depth) } else { GRANT };
-        let theirs = self.children.values().filter(|c| c.ours >= now + needed).map(|c| c.voices);
-        let to = self.speaks_to().unwrap_or(self.place.me);
-        let free = self.promised.0 == to || now >= self.promised.1;
+        let required = if self.parent.is_some() { vote_term(self.depth) } else { GRANT_TERM };
+        let child_votes =
+            self.children.values().filter(|c| c.votes_until >= now + required).map(|c| c.voices);
+        let to = self.parent_number().unwrap_or(self.place.me);
+        let free = self.vote_given.0 == to || now >= self.vote_given.1;
         if free {
-            theirs.fold(1, u16::saturating_add)
+            child_votes.fold(1, u16::saturating_add)
         } else {
             0
         }
     }
 
     /// Our report to our parent, with our votes; `None` if we are the leader.
-    pub fn up(&mut self, now: Duration, body: U) -> Option<(Number, Up<U>)> {
-        let voices = self.voices(now);
+    pub fn report(&mut self, now: Duration, body: U) -> Option<(Number, Up<U>)> {
+        let voices = self.votes(now);
         let parent = self.parent.as_ref()?;
-        let (to, echo, of) = (parent.number, parent.nonce, parent.life);
-        let promise = promise(self.depth);
+        let (to, echo, of) = (parent.number, parent.latest_stamp, parent.life);
+        let promise = vote_term(self.depth);
         // A parent we never heard from gave us no time stamp to echo, and so must not count our votes.
         let voices = if echo == 0 { 0 } else { voices };
         if voices > 0 {
-            self.promised = (to, self.promised.1.max(now + promise));
+            self.vote_given = (to, self.vote_given.1.max(now + promise));
         }
-        if (0..self.ledgers.len()).all(|lot| self.fits(lot)) {
-            self.holds = (self.held.of, self.held.version);
+        if (0..self.ledgers.len()).all(|resource| self.within_lease(resource)) {
+            self.confirmed = (self.held.of, self.held.version);
         }
-        let holds = if self.holds.0 == of { self.holds.1 } else { 0 };
+        let holds = if self.confirmed.0 == of { self.confirmed.1 } else { 0 };
         let (life, stamp, promise) = (self.life(), ms(now), ms(promise) as u32);
         Some((to, Up { life, stamp, echo, of, promise, voices, holds, body }))
     }
 
     /// Whether all that we leased out of a resource, our own use included, is within what we hold.
-    pub fn fits(&self, lot: usize) -> bool {
-        self.ledgers[lot].lent() <= self.held.rates.get(lot).copied().unwrap_or(0.0) + 1e-3
+    pub fn within_lease(&self, resource: usize) -> bool {
+        self.ledgers[resource].total_lent() <= self.held.rates.get(resource).copied().unwrap_or(0.0) + 1e-3
     }
 
-    // ---- leader
-    // ----------------------------------------------------------------------------------------------
+    // ---- leader ----
 
     /// Sets what the leader holds, until when, and the instruction to send down the tree.
-    pub fn hold(&mut self, rates: Vec<f32>, until: Duration, body: D) {
-        self.held = Held { of: 0, version: self.version, rates, until, body };
+    pub fn set_lease(&mut self, rates: Vec<f32>, until: Duration, body: D) {
+        self.held = HeldLease { of: 0, version: self.version, rates, until, body };
     }
 
-    /// Fraction of the whole that the leader may lease out for [`GRANT`] from now on, by its votes. Its own
-    /// vote is bound for that long: what is leased by it must have expired before another leader uses it.
-    pub fn lend_by_voices(&mut self, now: Duration) -> f32 {
-        let voices = self.voices(now);
+    /// Fraction of the whole that the leader may lease out for [`GRANT_TERM`] from now on, by its votes. Its
+    /// own vote is bound for that long: what is leased by it must have expired before another leader uses it.
+    pub fn lend_by_votes(&mut self, now: Duration) -> f32 {
+        let voices = self.votes(now);
         if voices > 0 {
-            self.promised = (self.place.me, self.promised.1.max(now + GRANT));
+            self.vote_given = (self.place.me, self.vote_given.1.max(now + GRANT_TERM));
         }
         (f32::from(voices) / self.order.len().max(1) as f32).min(1.0)
     }
 
-    // ---- down the tree
-    // ---------------------------------------------------------------------------------------
+    // ---- down the tree ----
 
     /// Leases out what we hold, to ourselves and to our children, in proportion to their weights.
-    pub fn share(&mut self, now: Duration, own: f32, weight: impl Fn(&U) -> f32) -> Vec<(Number, Down<D>)> {
+    pub fn lease_out(
+        &mut self, now: Duration, own: f32, weight: impl Fn(&U) -> f32,
+    ) -> Vec<(Number, Down<D>)> {
         let me = self.place.me;
-        let newborn = now < self.begun + LEASE;
-        let lapsed = now >= self.held.until || newborn;
-        let until = self.held.until.min(now + LEASE);
-        let fresh = |c: &Child<U>| now < c.seen + FRESH;
+        let starting = now < self.started + LEASE_TERM;
+        let expired = now >= self.held.until || starting;
+        let until = self.held.until.min(now + LEASE_TERM);
+        let recent = |c: &Child<U>| now < c.seen_at + REPORT_LIFETIME;
         let mut holders: Vec<(Number, f32)> =
-            self.children.iter().filter(|(_, c)| fresh(c)).map(|(n, c)| (*n, weight(&c.body))).collect();
+            self.children.iter().filter(|(_, c)| recent(c)).map(|(n, c)| (*n, weight(&c.body))).collect();
         holders.push((me, own));
         let sum: f32 = holders.iter().map(|h| h.1).sum::<f32>().max(1e-6);
-        let mut leases = vec![vec![0.0; self.place.lots]; holders.len()];
-        for lot in 0..self.place.lots {
-            let total = if lapsed { 0.0 } else { self.held.rates.get(lot).copied().unwrap_or(0.0) };
-            if total <= 0.0 && self.ledgers[lot].is_empty() {
+        let mut leases = vec![vec![0.0; self.place.resources]; holders.len()];
+        for resource in 0..self.place.resources {
+            let total = if expired { 0.0 } else { self.held.rates.get(resource).copied().unwrap_or(0.0) };
+            if total <= 0.0 && self.ledgers[resource].is_empty() {
                 continue;
             }
             let wishes: Vec<(Number, f32)> = holders.iter().map(|(n, d)| (*n, total * d / sum)).collect();
-            let rates = self.ledgers[lot].lend(now, self.version, &wishes, total, until);
-            leases.iter_mut().zip(rates).for_each(|(lease, rate)| lease[lot] = rate);
+            let rates = self.ledgers[resource].lend(now, self.version, &wishes, total, until);
+            leases.iter_mut().zip(rates).for_each(|(lease, rate)| lease[resource] = rate);
         }
         let mut sends = Vec::new();
         for ((holder, _), rates) in holders.into_iter().zip(leases) {
@@ -354,11 +357,10 @@
         sends
     }
 
-    // ---- received messages
-    // -----------------------------------------------------------------------------------
+    // ---- received messages ----
 
     /// Handles a report from a child.
-    pub fn hear_up(&mut self, now: Duration, from: Number, up: Up<U>) {
+    pub fn receive_report(&mut self, now: Duration, from: Number, up: Up<U>) {
         let Up { life, stamp, echo, of, promise, voices, holds, body } = up;
         let newer = self.children.get(&from).is_none_or(|c| c.life != life || c.stamp < stamp);
         if !self.order.contains(&from) || !newer || from == self.place.me {
@@ -366,26 +368,26 @@
         }
         // The vote counts from when the child sent it, which was after it had received our time stamp.
         let echoed = of == self.life() && echo > 0 && Duration::from_millis(echo) <= now;
-        let before = self.children.get(&from).filter(|c| c.life == life).map(|c| c.ours);
-        let ours = if echoed && voices > 0 { at(echo, promise) } else { before.unwrap_or_default() };
+        let before = self.children.get(&from).filter(|c| c.life == life).map(|c| c.votes_until);
+        let votes_until = if echoed && voices > 0 { at(echo, promise) } else { before.unwrap_or_default() };
         self.ledgers.iter_mut().for_each(|l| l.confirm(from, holds));
-        self.children.insert(from, Child { life, stamp, seen: now, ours, voices, body });
+        self.children.insert(from, Child { life, stamp, seen_at: now, votes_until, voices, body });
     }
 
     /// Handles a message from our parent.
-    pub fn hear_down(&mut self, now: Duration, from: Number, down: Down<D>) {
-        let (lots, mine, lease_of) = (self.place.lots, self.place.life, self.held.of);
+    pub fn receive_lease(&mut self, now: Duration, from: Number, down: Down<D>) {
+        let (resources, own_life, lender) = (self.place.resources, self.place.life, self.held.of);
         let Some(parent) = self.parent.as_mut().filter(|p| p.number == from) else { return };
         let Down { life, stamp, echo, of, version, valid, rates, body } = down;
-        if of != mine || rates.len() != lots || ms(now) < echo {
+        if of != own_life || rates.len() != resources || ms(now) < echo {
             return;
         }
-        parent.heard = Some(now);
-        if life != parent.life || stamp > parent.nonce {
-            (parent.life, parent.nonce) = (life, stamp);
+        parent.heard_at = Some(now);
+        if life != parent.life || stamp > parent.latest_stamp {
+            (parent.life, parent.latest_stamp) = (life, stamp);
         }
-        if life != lease_of || version > self.held.version {
-            self.held = Held { of: life, version, rates, until: at(echo, valid), body };
+        if life != lender || version > self.held.version {
+            self.held = HeldLease { of: life, version, rates, until: at(echo, valid), body };
         }
     }
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -12,9 +12,9 @@
 //! members grows with their number.
 #![forbid(unsafe_code)]
 
-mod hearing;
 pub mod message;
 mod probing;
+mod receive;
 mod relay;
 mod table;
 
@@ -34,46 +34,46 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// Interval between probes; one member is probed in each.
-    pub period: Duration,
+    pub probe_interval: Duration,
     /// Time-out after which an unanswered probe is repeated through other members.
-    pub answer: Duration,
+    pub ack_timeout: Duration,
     /// Number of members that are asked for an indirect probe.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Minimum suspicion time-out, in periods times the common logarithm of the number of members, and the
     /// factor by which the initial time-out exceeds it.
-    pub suspicion: [f64; 2],
+    pub suspicion_timeout: [f64; 2],
     /// Interval between table synchronizations with a random member.
-    pub compare: Duration,
+    pub sync_interval: Duration,
     /// Maximum rate of new record versions, per second over all members.
-    pub versions: f64,
+    pub max_versions_per_second: f64,
 }
 
 impl Default for Pace {
     fn default() -> Self {
         Pace {
-            period: Duration::from_millis(500),
-            answer: Duration::from_millis(200),
-            helpers: 3,
-            suspicion: [4.0, 4.0],
-            compare: Duration::from_secs(2),
-            versions: 20.0,
+            probe_interval: Duration::from_millis(500),
+            ack_timeout: Duration::from_millis(200),
+            indirect_probes: 3,
+            suspicion_timeout: [4.0, 4.0],
+            sync_interval: Duration::from_secs(2),
+            max_versions_per_second: 20.0,
         }
     }
 }
 
 /// Number of members in one digest, so that it fits a datagram.
-const RANGE: Number = 40;
+const DIGEST_RANGE: Number = 40;
 /// Each update is sent this many times the binary logarithm of the number of members.
-const TELLINGS: f64 = 3.0;
+const RETRANSMIT_FACTOR: f64 = 3.0;
 /// Upper limit of the local health multiplier.
-const UNHEALTHY: u32 = 8;
+const MAX_HEALTH_MULTIPLIER: u32 = 8;
 /// Every this many periods, a member that is not present is probed too.
-const REACH: u32 = 3;
+const ABSENT_PROBE_PERIODS: u32 = 3;
 /// Minimum interval between two versions of a member's record.
-const LEAST_GAP: Duration = Duration::from_millis(500);
+const MIN_RECORD_INTERVAL: Duration = Duration::from_millis(500);
 /// A member that wakes this many periods late concludes that its own process was paused, not that others
 /// failed.
-const STOOD: u32 = 2;
+const PAUSE_PERIODS: u32 = 2;
 
 /// An event for [`Members::handle`].
 #[derive(Clone, Copy, Debug)]
@@ -114,9 +114,9 @@
 struct Probe {
     target: Number,
     seq: u32,
-    begun: Duration,
+    started: Duration,
     /// Number of members asked for an indirect probe, once they were asked.
-    asked: Option<usize>,
+    helpers_asked: Option<usize>,
     /// How many of them have reported that the target did not answer them either.
     nacks: usize,
 }
@@ -126,10 +126,10 @@
 pub struct Traffic {
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard: u64,
-    pub heard_bytes: u64,
+    pub received: u64,
+    pub received_bytes: u64,
     /// Datagrams that could not be decoded.
-    pub dropped: u64,
+    pub malformed: u64,
 }
 
 /// The membership state of one member.
@@ -145,18 +145,18 @@
     probe: Option<Probe>,
     /// Members still to be probed in this round, the next one last.
     round: Vec<Number>,
-    periods: u32,
+    period_count: u32,
     next_period: Duration,
-    next_compare: Duration,
+    next_sync: Duration,
     seq: u32,
     relays: Relays,
     suspects: Vec<Number>,
     /// Our next record to publish.
     next_record: Option<Vec<u8>>,
     /// When the last record was published.
-    published: Option<Duration>,
+    published_at: Option<Duration>,
     /// The latest time seen.
-    seen: Duration,
+    last_time: Duration,
     leaving: bool,
     traffic: Traffic,
     out: Vec<Out>,
@@ -168,9 +168,9 @@
     pub fn new(me: Number, count: Number, life: u64, seed: u64, now: Duration, pace: Pace) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut table = Table::new(count.max(me.saturating_add(1)));
-        table.enter(now, me, (life, 0, State::Alive), me);
+        table.set_state(now, me, (life, 0, State::Alive), me);
         // A random phase keeps members that start together from sending at the same times.
-        let lot = pace.period.mul_f64(rng.random());
+        let phase = pace.probe_interval.mul_f64(rng.random());
         Members {
             me,
             count: count.max(me.saturating_add(1)),
@@ -180,15 +180,15 @@
             health: 0,
             probe: None,
             round: Vec::new(),
-            periods: 0,
-            next_period: now + lot,
-            next_compare: now + lot + pace.period,
+            period_count: 0,
+            next_period: now + phase,
+            next_sync: now + phase + pace.probe_interval,
             seq: 0,
             relays: Relays::default(),
             suspects: Vec::new(),
             next_record: None,
-            published: None,
-            seen: now,
+            published_at: None,
+            last_time: now,
             leaving: false,
             traffic: Traffic::default(),
             out: Vec::new(),
@@ -219,10 +219,10 @@
     /// Leaves the fleet: tells a few members at once, which pass it on.
     pub fn leave(&mut self, now: Duration) -> Vec<Out> {
         self.leaving = true;
-        if let Some((life, turn, _)) = self.table.get(self.me).map(|e| e.rank()) {
-            self.table.enter(now, self.me, (life, turn, State::Left), self.me);
+        if let Some((life, turn, _)) = self.table.get(self.me).map(|entry| entry.rank()) {
+            self.table.set_state(now, self.me, (life, turn, State::Left), self.me);
         }
-        for to in self.some(2 * self.pace.helpers, self.me) {
+        for to in self.random_alive(2 * self.pace.indirect_probes, self.me) {
             self.send(to, &What::Words { want: vec![] }, None);
         }
         std::mem::take(&mut self.out)
@@ -233,10 +233,10 @@
         if self.leaving {
             return Duration::MAX;
         }
-        let indirect = self.probe.as_ref().filter(|p| p.asked.is_none());
-        let indirect = indirect.map(|p| p.begun + self.pace.answer * (1 + self.health));
-        let suspects = self.suspects.iter().filter_map(|n| self.doubted_until(*n)).min();
-        let times = [indirect, suspects, self.relays.due(), Some(self.next_compare)];
+        let indirect = self.probe.as_ref().filter(|p| p.helpers_asked.is_none());
+        let indirect = indirect.map(|p| p.started + self.pace.ack_timeout * (1 + self.health));
+        let suspects = self.suspects.iter().filter_map(|n| self.suspicion_end(*n)).min();
+        let times = [indirect, suspects, self.relays.due(), Some(self.next_sync)];
         times.into_iter().flatten().fold(self.next_period, Duration::min)
     }
 
@@ -252,20 +252,23 @@
 
     /// Our own start epoch.
     pub fn life(&self) -> u64 {
-        self.table.get(self.me).map_or(0, |e| e.life)
+        self.table.get(self.me).map_or(0, |entry| entry.life)
     }
 
     /// All members, this one included.
     pub fn view(&self, now: Duration) -> impl Iterator<Item = View<'_>> {
-        self.table.numbers().map(move |(number, e)| View {
+        self.table.numbered().map(move |(number, entry)| View {
             number,
-            state: e.state,
-            life: e.life,
-            turn: e.turn,
-            since: now.saturating_sub(e.since),
-            heard: if number == self.me { Some(Duration::ZERO) } else { e.heard }
+            state: entry.state,
+            life: entry.life,
+            turn: entry.turn,
+            since: now.saturating_sub(entry.since),
+            heard: if number == self.me { Some(Duration::ZERO) } else { entry.heard }
                 .map(|at| now.saturating_sub(at)),
-            record: e.record.as_ref().map(|r| (&r.bytes[..], r.version, now.saturating_sub(e.record_at))),
+            record: entry
+                .record
+                .as_ref()
+                .map(|r| (&r.bytes[..], r.version, now.saturating_sub(entry.record_at))),
         })
     }
 
@@ -274,10 +277,10 @@
         if self.leaving {
             return Vec::new();
         }
-        self.stood_still(now);
+        self.detect_pause(now);
         match input {
             Input::Tick => self.tick(now),
-            Input::Heard { from, bytes } => self.hear(now, from, bytes),
+            Input::Heard { from, bytes } => self.receive(now, from, bytes),
         }
         std::mem::take(&mut self.out)
     }
@@ -285,76 +288,77 @@
     /// Detects that this process was paused: answers to its probes may lie unread, so their absence says
     /// nothing about other members. Without this check a resumed member would suspect all others. The cost:
     /// if only this process is woken late while others run, it suspects failed members later by as much.
-    fn stood_still(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.due().max(self.seen));
-        self.seen = now;
-        if late < self.pace.period * STOOD {
+    fn detect_pause(&mut self, now: Duration) {
+        let late = now.saturating_sub(self.due().max(self.last_time));
+        self.last_time = now;
+        if late < self.pace.probe_interval * PAUSE_PERIODS {
             return;
         }
         self.probe = None;
         self.relays = Relays::default();
-        self.health = (self.health + 1).min(UNHEALTHY);
-        self.next_period = now + self.pace.answer;
+        self.health = (self.health + 1).min(MAX_HEALTH_MULTIPLIER);
+        self.next_period = now + self.pace.ack_timeout;
         for number in self.suspects.clone() {
-            let doubt = self.table.get_mut(number).and_then(|e| e.doubt.as_mut());
-            doubt.into_iter().for_each(|doubt| doubt.begun += late);
+            let suspicion = self.table.get_mut(number).and_then(|entry| entry.suspicion.as_mut());
+            suspicion.into_iter().for_each(|suspicion| suspicion.started += late);
         }
     }
 
     fn tick(&mut self, now: Duration) {
-        self.version(now);
-        let late = self.probe.as_ref().filter(|p| p.asked.is_none());
-        if late.is_some_and(|p| now >= p.begun + self.pace.answer * (1 + self.health)) {
-            self.ask_others();
+        self.publish_next(now);
+        let late = self.probe.as_ref().filter(|p| p.helpers_asked.is_none());
+        if late.is_some_and(|p| now >= p.started + self.pace.ack_timeout * (1 + self.health)) {
+            self.probe_indirectly();
         }
-        for (asker, seq) in self.relays.late(now) {
-            self.send(asker, &What::Nack { seq }, None);
+        for (requester, seq) in self.relays.take_due(now) {
+            self.send(requester, &What::Nack { seq }, None);
         }
         for number in self.suspects.clone() {
-            if self.doubted_until(number).is_none_or(|until| now >= until) {
+            if self.suspicion_end(number).is_none_or(|end| now >= end) {
                 self.suspects.retain(|s| *s != number);
-                let e = self.table.get(number).filter(|e| e.state == State::Suspect);
-                if let Some((life, turn, _)) = e.map(|e| e.rank()) {
-                    self.enter(now, number, (life, turn, State::Dead), self.me);
+                let entry = self.table.get(number).filter(|entry| entry.state == State::Suspect);
+                if let Some((life, turn, _)) = entry.map(|entry| entry.rank()) {
+                    self.set_state(now, number, (life, turn, State::Dead), self.me);
                 }
             }
         }
         if now >= self.next_period {
-            self.unanswered(now);
-            self.next_period = now + self.pace.period * (1 + self.health);
-            self.begin(now);
+            self.finish_period(now);
+            self.next_period = now + self.pace.probe_interval * (1 + self.health);
+            self.start_period(now);
         }
-        if now >= self.next_compare {
-            self.next_compare = now + self.pace.compare;
-            for to in self.some(1, self.me) {
-                self.compare(to);
+        if now >= self.next_sync {
+            self.next_sync = now + self.pace.sync_interval;
+            for to in self.random_alive(1, self.me) {
+                self.send_digest(to);
             }
         }
     }
 
     /// Publishes our next record once the rate limit allows.
-    fn version(&mut self, now: Duration) {
-        let share = Duration::from_secs_f64(self.table.present() as f64 / self.pace.versions);
-        if self.published.is_some_and(|at| now < at + share.max(LEAST_GAP)) {
+    fn publish_next(&mut self, now: Duration) {
+        let interval =
+            Duration::from_secs_f64(self.table.present() as f64 / self.pace.max_versions_per_second);
+        if self.published_at.is_some_and(|at| now < at + interval.max(MIN_RECORD_INTERVAL)) {
             return;
         }
         let Some(bytes) = self.next_record.take() else { return };
-        self.published = Some(now);
+        self.published_at = Some(now);
         let me = self.me;
-        let Some(e) = self.table.get_mut(me) else { return };
-        let version = e.version() + 1;
-        (e.record, e.record_at) = (Some(Record { version, bytes }), now);
-        self.table.spread(me);
+        let Some(entry) = self.table.get_mut(me) else { return };
+        let version = entry.version() + 1;
+        (entry.record, entry.record_at) = (Some(Record { version, bytes }), now);
+        self.table.enqueue(me);
     }
 
-    /// Up to `count` random alive members other than `without`.
-    fn some(&mut self, count: usize, without: Number) -> Vec<Number> {
+    /// Up to `count` random alive members other than `excluded`.
+    fn random_alive(&mut self, count: usize, excluded: Number) -> Vec<Number> {
         let mut found = Vec::new();
         // Random draws instead of a full listing keep the cost independent of the number of members.
         for _ in 0..20 * count {
             let number = self.rng.random_range(0..self.count);
-            let fits = number != self.me && number != without && !found.contains(&number);
-            if fits && self.table.get(number).is_some_and(|e| e.state == State::Alive) {
+            let eligible = number != self.me && number != excluded && !found.contains(&number);
+            if eligible && self.table.get(number).is_some_and(|entry| entry.state == State::Alive) {
                 found.push(number);
                 if found.len() == count {
                     break;
@@ -366,19 +370,20 @@
 
     /// Sends a message with the update about ourselves first, then the one about `about` unless it is alive,
     /// then the queued updates.
-    fn send(&mut self, to: Number, what: &What, about: Option<Number>) {
-        let own = self.table.word(self.me, self.me);
-        let doubted = about.and_then(|n| self.table.word(n, self.me)).filter(|w| w.state != State::Alive);
-        let first: Vec<Word> = own.into_iter().chain(doubted).collect();
-        let news = self.table.due(self.me, 24);
-        let news = news.into_iter().filter(|w| first.iter().all(|f| f.number != w.number));
-        let words: Vec<Word> = first.iter().cloned().chain(news).collect();
-        self.send_words(to, what, words);
+    fn send(&mut self, to: Number, message: &What, about: Option<Number>) {
+        let own = self.table.update(self.me, self.me);
+        let target_update =
+            about.and_then(|n| self.table.update(n, self.me)).filter(|w| w.state != State::Alive);
+        let leading: Vec<Word> = own.into_iter().chain(target_update).collect();
+        let queued = self.table.pending(self.me, 24);
+        let queued = queued.into_iter().filter(|w| leading.iter().all(|f| f.number != w.number));
+        let updates: Vec<Word> = leading.iter().cloned().chain(queued).collect();
+        self.send_updates(to, message, updates);
     }
 
-    fn send_words(&mut self, to: Number, what: &What, words: Vec<Word>) {
-        let (bytes, count) = message::write(what, words.iter());
-        self.table.told(words[..count].iter().map(|w| w.number));
+    fn send_updates(&mut self, to: Number, message: &What, updates: Vec<Word>) {
+        let (bytes, count) = message::write(message, updates.iter());
+        self.table.mark_sent(updates[..count].iter().map(|w| w.number));
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         self.out.push(Out::Send { to, bytes });
--- a/crates/members/src/probing.rs
+++ b/crates/members/src/probing.rs
@@ -5,26 +5,26 @@
 use rand::RngExt;
 
 use crate::message::{State, What};
-use crate::table::CONFIRMED;
-use crate::{Members, Number, Probe, REACH, TELLINGS, UNHEALTHY};
+use crate::table::MAX_CONFIRMATIONS;
+use crate::{Members, Number, Probe, ABSENT_PROBE_PERIODS, MAX_HEALTH_MULTIPLIER, RETRANSMIT_FACTOR};
 
 impl Members {
-    pub(crate) fn begin(&mut self, now: Duration) {
-        self.periods = self.periods.wrapping_add(1);
+    pub(crate) fn start_period(&mut self, now: Duration) {
+        self.period_count = self.period_count.wrapping_add(1);
         let members = self.table.present().max(2) as f64;
-        self.table.enough = (TELLINGS * members.log2()).ceil() as u32;
+        self.table.max_sends = (RETRANSMIT_FACTOR * members.log2()).ceil() as u32;
         if let Some(target) = self.next_target() {
             self.seq = self.seq.wrapping_add(1);
             let seq = self.seq;
-            self.probe = Some(Probe { target, seq, begun: now, asked: None, nacks: 0 });
+            self.probe = Some(Probe { target, seq, started: now, helpers_asked: None, nacks: 0 });
             self.send(target, &What::Ping { seq }, Some(target));
         }
         // Members not known to be present are probed occasionally, without consequence; in every period while
         // this member is alone.
-        if self.periods.is_multiple_of(REACH) || self.table.present() < 2 {
+        if self.period_count.is_multiple_of(ABSENT_PROBE_PERIODS) || self.table.present() < 2 {
             for _ in 0..10 {
                 let number = self.rng.random_range(0..self.count);
-                if self.table.get(number).is_some_and(|e| !e.state.present()) {
+                if self.table.get(number).is_some_and(|entry| !entry.state.present()) {
                     self.seq = self.seq.wrapping_add(1);
                     self.send(number, &What::Ping { seq: self.seq }, Some(number));
                     break;
@@ -37,11 +37,11 @@
     pub(crate) fn next_target(&mut self) -> Option<Number> {
         for _ in 0..2 {
             while let Some(number) = self.round.pop() {
-                if self.table.get(number).is_some_and(|e| e.state.present()) {
+                if self.table.get(number).is_some_and(|entry| entry.state.present()) {
                     return Some(number);
                 }
             }
-            let present = self.table.numbers().filter(|(n, e)| *n != self.me && e.state.present());
+            let present = self.table.numbered().filter(|(n, entry)| *n != self.me && entry.state.present());
             self.round = present.map(|p| p.0).collect();
             for i in (1..self.round.len()).rev() {
                 let j = self.rng.random_range(0..=i);
@@ -51,11 +51,11 @@
         None
     }
 
-    pub(crate) fn ask_others(&mut self) {
+    pub(crate) fn probe_indirectly(&mut self) {
         let Some((target, seq)) = self.probe.as_ref().map(|p| (p.target, p.seq)) else { return };
-        let helpers = self.some(self.pace.helpers, target);
+        let helpers = self.random_alive(self.pace.indirect_probes, target);
         if let Some(probe) = &mut self.probe {
-            probe.asked = Some(helpers.len());
+            probe.helpers_asked = Some(helpers.len());
         }
         for helper in helpers {
             self.send(helper, &What::Ask { seq, target }, None);
@@ -63,32 +63,37 @@
     }
 
     /// Ends the period: the target of an unanswered probe becomes suspect.
-    pub(crate) fn unanswered(&mut self, now: Duration) {
+    pub(crate) fn finish_period(&mut self, now: Duration) {
         let Some(probe) = self.probe.take() else { return };
         // Members that neither relayed an ack nor sent a nack suggest that our own link is at fault.
-        let silent = probe.asked.unwrap_or(0).saturating_sub(probe.nacks);
-        let alone = probe.asked.is_none_or(|asked| asked == 0);
-        self.health = (self.health + silent as u32 + u32::from(alone)).min(UNHEALTHY);
-        let Some(e) = self.table.get(probe.target) else { return };
-        match (e.state, e.rank()) {
+        let silent_helpers = probe.helpers_asked.unwrap_or(0).saturating_sub(probe.nacks);
+        let no_helpers = probe.helpers_asked.is_none_or(|helpers_asked| helpers_asked == 0);
+        self.health =
+            (self.health + silent_helpers as u32 + u32::from(no_helpers)).min(MAX_HEALTH_MULTIPLIER);
+        let Some(entry) = self.table.get(probe.target) else { return };
+        match (entry.state, entry.rank()) {
             (State::Alive, (life, turn, _)) => {
-                self.enter(now, probe.target, (life, turn, State::Suspect), self.me);
+                self.set_state(now, probe.target, (life, turn, State::Suspect), self.me);
             }
             (State::Suspect, _) => self.table.confirm(probe.target, self.me),
             _ => {}
         }
     }
 
-    pub(crate) fn doubted_until(&self, number: Number) -> Option<Duration> {
-        let doubt = self.table.get(number)?.doubt.as_ref()?;
+    pub(crate) fn suspicion_end(&self, number: Number) -> Option<Duration> {
+        let suspicion = self.table.get(number)?.suspicion.as_ref()?;
         let members = self.table.present() as f64;
-        let [least, first] = self.pace.suspicion;
-        let least = least * members.log10().max(1.0);
+        let [minimum, factor] = self.pace.suspicion_timeout;
+        let minimum = minimum * members.log10().max(1.0);
         // With few other members, no confirmation by them is required.
-        let wanted = CONFIRMED.min(self.table.present().saturating_sub(3));
-        let more = doubt.by.len().saturating_sub(1).min(wanted);
-        let part = if wanted == 0 { 1.0 } else { ((more + 1) as f64).ln() / ((wanted + 1) as f64).ln() };
-        let periods = least * (first - (first - 1.0) * part);
-        Some(doubt.begun + self.pace.period.mul_f64(periods))
+        let wanted_confirmations = MAX_CONFIRMATIONS.min(self.table.present().saturating_sub(3));
+        let confirmations = suspicion.by.len().saturating_sub(1).min(wanted_confirmations);
+        let progress = if wanted_confirmations == 0 {
+            1.0
+        } else {
+            ((confirmations + 1) as f64).ln() / ((wanted_confirmations + 1) as f64).ln()
+        };
+        let periods = minimum * (factor - (factor - 1.0) * progress);
+        Some(suspicion.started + self.pace.probe_interval.mul_f64(periods))
     }
 }
--- a/crates/members/src/relay.rs
+++ b/crates/members/src/relay.rs
@@ -5,15 +5,15 @@
 use crate::Number;
 
 /// Maximum number of concurrent relayed probes; further requests are ignored.
-const MOST: usize = 64;
+const MAX_RELAYS: usize = 64;
 
 struct Relay {
-    asker: (Number, u32),
+    requester: (Number, u32),
     target: (Number, u32),
     /// When the requester is sent a nack.
-    nack: Option<Duration>,
+    nack_at: Option<Duration>,
     /// When the entry is dropped.
-    until: Duration,
+    expires: Duration,
 }
 
 /// The relayed probes in progress.
@@ -21,40 +21,40 @@
 pub struct Relays(Vec<Relay>);
 
 impl Relays {
-    /// Registers a relayed probe. `asker` and `target` are each a member with its sequence number; false if
-    /// the limit is reached.
-    pub fn take(
-        &mut self, now: Duration, asker: (Number, u32), target: (Number, u32), wait: Duration,
+    /// Registers a relayed probe. `requester` and `target` are each a member with its sequence number; false
+    /// if the limit is reached.
+    pub fn register(
+        &mut self, now: Duration, requester: (Number, u32), target: (Number, u32), wait: Duration,
         period: Duration,
     ) -> bool {
-        self.0.retain(|r| now < r.until);
-        let room = self.0.len() < MOST;
-        if room {
+        self.0.retain(|r| now < r.expires);
+        let has_room = self.0.len() < MAX_RELAYS;
+        if has_room {
             // Early enough for the requester's period, or our waiting would raise its health multiplier.
-            let nack = Some(now + wait.min(period / 2).mul_f64(0.8));
-            self.0.push(Relay { asker, target, nack, until: now + 4 * period });
+            let nack_at = Some(now + wait.min(period / 2).mul_f64(0.8));
+            self.0.push(Relay { requester, target, nack_at, expires: now + 4 * period });
         }
-        room
+        has_room
     }
 
     /// Removes the relayed probe that this ack belongs to and returns its requester.
-    pub fn answered(&mut self, from: Number, seq: u32) -> Option<(Number, u32)> {
+    pub fn take_requester(&mut self, from: Number, seq: u32) -> Option<(Number, u32)> {
         let at = self.0.iter().position(|r| r.target == (from, seq))?;
-        Some(self.0.swap_remove(at).asker)
+        Some(self.0.swap_remove(at).requester)
     }
 
     /// Requesters that are due a nack now; each is returned once.
-    pub fn late(&mut self, now: Duration) -> Vec<(Number, u32)> {
-        let due = self.0.iter_mut().filter(|r| r.nack.is_some_and(|at| now >= at));
-        let askers = due.map(|r| {
-            r.nack = None;
-            r.asker
+    pub fn take_due(&mut self, now: Duration) -> Vec<(Number, u32)> {
+        let due = self.0.iter_mut().filter(|r| r.nack_at.is_some_and(|at| now >= at));
+        let requesters = due.map(|r| {
+            r.nack_at = None;
+            r.requester
         });
-        askers.collect()
+        requesters.collect()
     }
 
     /// Time of the next nack.
     pub fn due(&self) -> Option<Duration> {
-        self.0.iter().filter_map(|r| r.nack).min()
+        self.0.iter().filter_map(|r| r.nack_at).min()
     }
 }
