--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::message::{Rank, Record, Row, State, Word};
+use crate::message::{DigestEntry, Rank, Record, State, Word};
 use crate::Number;
 
 /// Number of independent confirmations that shortens a suspicion to its minimum.
-pub const CONFIRMED: usize = 3;
+pub const MAX_CONFIRMATIONS: usize = 3;
 
 /// A suspicion with Lifeguard's rule: the more members suspect independently, the sooner it ends.
 #[derive(Clone, Debug)]
-pub struct Doubt {
+pub struct Suspicion {
     /// When the suspicion began, by our clock.
-    pub begun: Duration,
+    pub started: Duration,
     /// Members that suspect it independently.
     pub by: Vec<Number>,
 }
@@ -28,12 +28,12 @@
     pub since: Duration,
     /// When it was last heard directly.
     pub heard: Option<Duration>,
-    pub doubt: Option<Doubt>,
+    pub suspicion: Option<Suspicion>,
     pub record: Option<Record>,
     /// When this version of its record arrived.
     pub record_at: Duration,
     /// How often its update was sent; `None` once that was often enough.
-    told: Option<u32>,
+    send_count: Option<u32>,
 }
 
 impl Entry {
@@ -44,10 +44,10 @@
             state: State::Unknown,
             since: Duration::ZERO,
             heard: None,
-            doubt: None,
+            suspicion: None,
             record: None,
             record_at: Duration::ZERO,
-            told: None,
+            send_count: None,
         }
     }
 
@@ -62,7 +62,7 @@
 
 /// Effect of an update.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Learnt {
+pub struct StateChange {
     /// The previous state, if the state or the life changed.
     pub from: Option<State>,
 }
@@ -73,7 +73,7 @@
     /// Members whose update is still to be sent, the least often sent first.
     queue: BTreeSet<(u32, Number)>,
     /// How often each update is sent.
-    pub enough: u32,
+    pub max_sends: u32,
     /// Number of members present.
     present: usize,
 }
@@ -81,7 +81,7 @@
 impl Table {
     pub fn new(count: Number) -> Self {
         let entries = (0..count).map(|_| Entry::new()).collect();
-        Table { entries, queue: BTreeSet::new(), enough: 4, present: 0 }
+        Table { entries, queue: BTreeSet::new(), max_sends: 4, present: 0 }
     }
 
     pub fn get(&self, number: Number) -> Option<&Entry> {
@@ -96,11 +96,11 @@
     pub fn resize(&mut self, count: Number) {
         self.entries.resize_with(count.into(), Entry::new);
         self.queue.retain(|(_, number)| *number < count);
-        self.present = self.entries.iter().filter(|e| e.state.present()).count();
+        self.present = self.entries.iter().filter(|entry| entry.state.present()).count();
     }
 
-    pub fn numbers(&self) -> impl Iterator<Item = (Number, &Entry)> {
-        self.entries.iter().enumerate().map(|(i, e)| (i as Number, e))
+    pub fn numbered(&self) -> impl Iterator<Item = (Number, &Entry)> {
+        self.entries.iter().enumerate().map(|(i, entry)| (i as Number, entry))
     }
 
     /// Number of members present, this one included.
@@ -109,96 +109,103 @@
     }
 
     /// The update about a member, as sent by `by`.
-    pub fn word(&self, number: Number, by: Number) -> Option<Word> {
-        let e = self.get(number).filter(|e| e.state != State::Unknown)?;
+    pub fn update(&self, number: Number, by: Number) -> Option<Word> {
+        let entry = self.get(number).filter(|entry| entry.state != State::Unknown)?;
         // Naming the latest confirmation lets others learn of more than one.
-        let by = e.doubt.as_ref().and_then(|d| d.by.last().copied()).unwrap_or(by);
-        let record = e.record.clone().filter(|_| e.state.present());
-        Some(Word { number, life: e.life, turn: e.turn, state: e.state, by, record })
+        let by = entry.suspicion.as_ref().and_then(|d| d.by.last().copied()).unwrap_or(by);
+        let record = entry.record.clone().filter(|_| entry.state.present());
+        Some(Word { number, life: entry.life, turn: entry.turn, state: entry.state, by, record })
     }
 
     /// The digest entry of a member.
-    pub fn row(&self, number: Number) -> Option<Row> {
-        let e = self.get(number).filter(|e| e.state != State::Unknown)?;
-        Some(Row { number, life: e.life, turn: e.turn, state: e.state, version: e.version() })
+    pub fn digest_entry(&self, number: Number) -> Option<DigestEntry> {
+        let entry = self.get(number).filter(|entry| entry.state != State::Unknown)?;
+        Some(DigestEntry {
+            number,
+            life: entry.life,
+            turn: entry.turn,
+            state: entry.state,
+            version: entry.version(),
+        })
     }
 
     /// Queues the member's update for the next datagrams.
-    pub fn spread(&mut self, number: Number) {
-        let Some(e) = self.entries.get_mut(usize::from(number)) else { return };
-        if let Some(told) = e.told.replace(0) {
-            self.queue.remove(&(told, number));
+    pub fn enqueue(&mut self, number: Number) {
+        let Some(entry) = self.entries.get_mut(usize::from(number)) else { return };
+        if let Some(send_count) = entry.send_count.replace(0) {
+            self.queue.remove(&(send_count, number));
         }
         self.queue.insert((0, number));
     }
 
-    /// Up to `most` updates to send, the least often sent first.
-    pub fn due(&self, by: Number, most: usize) -> Vec<Word> {
-        self.queue.iter().take(most).filter_map(|&(_, number)| self.word(number, by)).collect()
+    /// Up to `limit` updates to send, the least often sent first.
+    pub fn pending(&self, by: Number, limit: usize) -> Vec<Word> {
+        self.queue.iter().take(limit).filter_map(|&(_, number)| self.update(number, by)).collect()
     }
 
     /// Counts these updates as sent once more.
-    pub fn told(&mut self, numbers: impl Iterator<Item = Number>) {
+    pub fn mark_sent(&mut self, numbers: impl Iterator<Item = Number>) {
         for number in numbers {
-            let Some(e) = self.entries.get_mut(usize::from(number)) else { continue };
-            let Some(told) = e.told else { continue };
-            self.queue.remove(&(told, number));
-            e.told = (told + 1 < self.enough).then_some(told + 1);
-            self.queue.extend(e.told.map(|told| (told, number)));
+            let Some(entry) = self.entries.get_mut(usize::from(number)) else { continue };
+            let Some(send_count) = entry.send_count else { continue };
+            self.queue.remove(&(send_count, number));
+            entry.send_count = (send_count + 1 < self.max_sends).then_some(send_count + 1);
+            self.queue.extend(entry.send_count.map(|send_count| (send_count, number)));
         }
     }
 
     /// Sets a member's state and queues the update.
-    pub fn enter(&mut self, now: Duration, number: Number, rank: Rank, by: Number) -> Learnt {
-        let Some(e) = self.entries.get_mut(usize::from(number)) else { return Learnt::default() };
-        let (old, same_life) = (e.state, e.life == rank.0);
-        (e.life, e.turn, e.state) = rank;
-        e.doubt = (e.state == State::Suspect).then(|| Doubt { begun: now, by: vec![by] });
+    pub fn set_state(&mut self, now: Duration, number: Number, rank: Rank, by: Number) -> StateChange {
+        let Some(entry) = self.entries.get_mut(usize::from(number)) else { return StateChange::default() };
+        let (previous, same_life) = (entry.state, entry.life == rank.0);
+        (entry.life, entry.turn, entry.state) = rank;
+        entry.suspicion = (entry.state == State::Suspect).then(|| Suspicion { started: now, by: vec![by] });
         if !same_life {
-            e.record = None;
+            entry.record = None;
         }
-        let changed = old != e.state || !same_life;
+        let changed = previous != entry.state || !same_life;
         if changed {
-            e.since = now;
+            entry.since = now;
         }
-        self.present += usize::from(e.state.present());
-        self.present -= usize::from(old.present());
-        self.spread(number);
-        Learnt { from: changed.then_some(old) }
+        self.present += usize::from(entry.state.present());
+        self.present -= usize::from(previous.present());
+        self.enqueue(number);
+        StateChange { from: changed.then_some(previous) }
     }
 
     /// Applies an update about another member.
-    pub fn take(&mut self, now: Duration, word: &Word) -> Learnt {
-        let Some(e) = self.get(word.number) else { return Learnt::default() };
-        if word.state == State::Unknown {
-            return Learnt::default();
+    pub fn apply(&mut self, now: Duration, update: &Word) -> StateChange {
+        let Some(entry) = self.get(update.number) else { return StateChange::default() };
+        if update.state == State::Unknown {
+            return StateChange::default();
         }
-        let newer = word.rank() > e.rank();
-        let confirms = word.rank() == e.rank() && word.state == State::Suspect;
-        let learnt = if newer {
-            self.enter(now, word.number, word.rank(), word.by)
+        let newer = update.rank() > entry.rank();
+        let confirms = update.rank() == entry.rank() && update.state == State::Suspect;
+        let change = if newer {
+            self.set_state(now, update.number, update.rank(), update.by)
         } else {
             if confirms {
-                self.confirm(word.number, word.by);
+                self.confirm(update.number, update.by);
             }
-            Learnt::default()
+            StateChange::default()
         };
-        let Some(e) = self.get_mut(word.number) else { return learnt };
-        let fresh =
-            |r: &&Record| word.life == e.life && e.record.as_ref().is_none_or(|k| k.version < r.version);
-        if let Some(record) = word.record.as_ref().filter(fresh) {
-            (e.record, e.record_at) = (Some(record.clone()), now);
-            self.spread(word.number);
+        let Some(entry) = self.get_mut(update.number) else { return change };
+        let fresh = |r: &&Record| {
+            update.life == entry.life && entry.record.as_ref().is_none_or(|k| k.version < r.version)
+        };
+        if let Some(record) = update.record.as_ref().filter(fresh) {
+            (entry.record, entry.record_at) = (Some(record.clone()), now);
+            self.enqueue(update.number);
         }
-        learnt
+        change
     }
 
     /// Records that `by` suspects the member independently.
     pub fn confirm(&mut self, number: Number, by: Number) {
-        let Some(doubt) = self.get_mut(number).and_then(|e| e.doubt.as_mut()) else { return };
-        if doubt.by.len() <= CONFIRMED && !doubt.by.contains(&by) {
-            doubt.by.push(by);
-            self.spread(number);
+        let Some(suspicion) = self.get_mut(number).and_then(|entry| entry.suspicion.as_mut()) else { return };
+        if suspicion.by.len() <= MAX_CONFIRMATIONS && !suspicion.by.contains(&by) {
+            suspicion.by.push(by);
+            self.enqueue(number);
         }
     }
 }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -19,19 +19,19 @@
 pub use fleet::Fleet;
 pub use size::Size;
 
-/// Minimum subset size. Two random choices among 24 nodes find an idle one even with a quarter of them ejected
-/// as outliers, and at the peak of 95 RPCs/s per marshal each node gets four RPCs a second, so its health shows
-/// within seconds.
+/// Minimum subset size. Two random choices among 24 nodes find an idle one even with a quarter of them
+/// ejected as outliers, and at the peak of 95 RPCs/s per marshal each node gets four RPCs a second, so its
+/// health shows within seconds.
 pub const LEAST: usize = 24;
 
 /// Minimum number of marshals that hold a node, as far as there are that many. Five can die at once
 /// unnoticed, and the random differences between the sizes of its holders' subsets even out.
-pub const HOLDERS: usize = 6;
+pub const MIN_HOLDERS: usize = 6;
 
 /// Minimum number of nodes of each arm that a marshal wants, if the arm has them: it then holds at least two
 /// in all but 3 of 1,000 random draws.
-pub const ARM: usize = 8;
+pub const MIN_WANTED_PER_ARM: usize = 8;
 
 /// Minimum number of nodes of each arm that a marshal takes in any case, by its own ranking: it cannot try an
 /// arm that it does not see.
-pub const ARM_LEAST: usize = 2;
+pub const MIN_HELD_PER_ARM: usize = 2;
