--- a/crates/commons/src/large.rs
+++ b/crates/commons/src/large.rs
@@ -29,15 +29,20 @@
 /// Identifies a state: its owner, and which of the owner's states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
+    /// The marshal that publishes the state.
     pub owner: Number,
+    /// Number of the state among the owner's.
     pub id: u16,
 }
 
 /// What the owner publishes about a state, in a section of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
+    /// Version of the state.
     pub version: u32,
+    /// Length in bytes.
     pub length: u32,
+    /// First 16 bytes of its BLAKE3 hash.
     pub digest: [u8; 16],
 }
 
@@ -65,7 +70,9 @@
 /// A message between marshals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
+    /// Requests one piece.
     Ask { key: Key, version: u32, piece: u16 },
+    /// Carries one piece; all but the last have [`PIECE_BYTES`].
     Piece { key: Key, version: u32, piece: u16, bytes: Vec<u8> },
 }
 
--- a/crates/commons/src/level.rs
+++ b/crates/commons/src/level.rs
@@ -17,7 +17,9 @@
 /// The range of levels that a program supports, as published in section [`crate::sections::SPEECH`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Speech {
+    /// Lowest supported level.
     pub least: u8,
+    /// Highest supported level.
     pub most: u8,
 }
 
--- a/crates/commons/src/sections.rs
+++ b/crates/commons/src/sections.rs
@@ -23,11 +23,13 @@
 /// One section of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Section {
+    /// Section number, such as [`SPEECH`].
     pub id: u16,
     /// Counts up with each change, within a life of its owner.
     pub version: u32,
     /// Validity in milliseconds, counted from the arrival of the record that carries it.
     pub valid: u32,
+    /// Content, of at most [`MAX_SECTION_BYTES`].
     pub bytes: Vec<u8>,
 }
 
@@ -80,6 +82,7 @@
         Ok(())
     }
 
+    /// Removes a section, if there is one of this number.
     pub fn remove(&mut self, id: u16) {
         self.sections.retain(|s| s.id != id);
     }
--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -51,7 +51,7 @@
     /// Number of recent returns, completed or broken off; each doubles the hold.
     returns: u32,
     /// Since when the zone has been overloaded, or since when it could bear more.
-    since: Option<Duration>,
+    condition_since: Option<Duration>,
     /// When the current stage began.
     entered_at: Duration,
     /// When [`Controller::step`] was last called.
@@ -65,35 +65,36 @@
         let elapsed = now.saturating_sub(self.stepped_at).min(warm).as_secs_f32();
         self.stepped_at = now;
         let max_part = 1.0 - MIN_LOCAL;
-        let wanted = if demand > 0.0 { (1.0 - sustainable / demand).clamp(0.0, max_part) } else { 0.0 };
+        let wanted_part = if demand > 0.0 { (1.0 - sustainable / demand).clamp(0.0, max_part) } else { 0.0 };
         if self.stage == Stage::Near && now >= self.entered_at + HOLD_RESET {
             self.returns = 0;
         }
         match self.stage {
-            Stage::Near if wanted > MIN_MOVE => {
-                if now >= *self.since.get_or_insert(now) + OVERLOAD_DELAY {
+            Stage::Near if wanted_part > MIN_MOVE => {
+                if now >= *self.condition_since.get_or_insert(now) + OVERLOAD_DELAY {
                     self.enter_stage(now, Stage::Out);
-                    (self.part, self.moves_out) = (wanted, self.moves_out + 1);
+                    (self.part, self.moves_out) = (wanted_part, self.moves_out + 1);
                 }
             }
-            Stage::Near => self.since = None,
-            Stage::Out if wanted > self.part - MIN_MOVE => {
-                self.part = self.part.max(wanted);
-                self.since = None;
+            Stage::Near => self.condition_since = None,
+            Stage::Out if wanted_part > self.part - MIN_MOVE => {
+                self.part = self.part.max(wanted_part);
+                self.condition_since = None;
             }
             Stage::Out => {
                 let hold = RETURN_HOLDS[0].saturating_mul(1 << self.returns.min(8)).min(RETURN_HOLDS[1]);
-                if now >= *self.since.get_or_insert(now) + hold {
+                if now >= *self.condition_since.get_or_insert(now) + hold {
                     self.enter_stage(now, Stage::Back);
                 }
             }
-            Stage::Back if wanted > self.part + MIN_MOVE => {
+            Stage::Back if wanted_part > self.part + MIN_MOVE => {
                 self.enter_stage(now, Stage::Out);
-                (self.part, self.moves_out, self.returns) = (wanted, self.moves_out + 1, self.returns + 1);
+                (self.part, self.moves_out, self.returns) =
+                    (wanted_part, self.moves_out + 1, self.returns + 1);
             }
             Stage::Back => {
                 // Traffic returns linearly, no faster than cold nodes warm up.
-                self.part = (self.part - elapsed / warm.as_secs_f32().max(0.1)).max(wanted);
+                self.part = (self.part - elapsed / warm.as_secs_f32().max(0.1)).max(wanted_part);
                 if self.part <= MIN_MOVE / 2.0 {
                     self.enter_stage(now, Stage::Near);
                     (self.part, self.returns) = (0.0, self.returns + 1);
@@ -103,7 +104,7 @@
     }
 
     fn enter_stage(&mut self, now: Duration, stage: Stage) {
-        (self.stage, self.entered_at, self.since) = (stage, now, None);
+        (self.stage, self.entered_at, self.condition_since) = (stage, now, None);
     }
 }
 
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -36,6 +36,7 @@
 /// A marshal's place in the fleet.
 #[derive(Clone, Debug)]
 pub struct Site {
+    /// This marshal.
     pub me: Number,
     /// Grows from start to start.
     pub life: u64,
@@ -166,7 +167,7 @@
         let rates = self.tree.own(now);
         let (stage, part) = match (self.tree.parent_number(), self.tree.instruction(now)) {
             (None, _) => (self.controller.stage, self.controller.part),
-            (_, Some(told)) => (message::decode_stage(told.stage), told.part),
+            (_, Some(instruction)) => (message::decode_stage(instruction.stage), instruction.part),
             (_, None) => (Stage::Near, 0.0),
         };
         Plan { stage, part, rates }
@@ -185,23 +186,24 @@
         let outcome = self.tree.tick(now, present);
         if outcome.became_leader {
             // A new leader continues from the zone's current stage.
-            let told = self.tree.last_instruction();
-            (self.controller.stage, self.controller.part) = (message::decode_stage(told.stage), told.part);
+            let instruction = self.tree.last_instruction();
+            (self.controller.stage, self.controller.part) =
+                (message::decode_stage(instruction.stage), instruction.part);
         }
         let zones = self.order.len();
-        let sight = |z: usize| snapshot.zones.get(z).copied().unwrap_or_default();
-        let mut sights: Vec<Sights> = (0..zones).map(|z| Sights::of(&sight(z))).collect();
+        let observation = |z: usize| snapshot.zones.get(z).copied().unwrap_or_default();
+        let mut sights: Vec<Sights> = (0..zones).map(|z| Sights::of(&observation(z))).collect();
         let mut demand = snapshot.demand.max(0.0);
-        for told in self.tree.child_reports(now) {
-            demand += told.demand;
-            sights.iter_mut().zip(&told.sights).for_each(|(merged, child)| merged.add(child));
+        for report in self.tree.child_reports(now) {
+            demand += report.demand;
+            sights.iter_mut().zip(&report.sights).for_each(|(merged, child)| merged.add(child));
         }
         if outcome.parent.is_none() {
             self.decide(now, demand, &sights, present);
         } else if let Some((to, up)) = self.tree.report(now, Told { demand, sights }) {
             self.send(to, Message::Up(up));
         }
-        for (to, down) in self.tree.lease_out(now, snapshot.demand.max(0.0), |told| told.demand) {
+        for (to, down) in self.tree.lease_out(now, snapshot.demand.max(0.0), |report| report.demand) {
             self.send(to, Message::Down(down));
         }
         std::mem::take(&mut self.out)
@@ -276,8 +278,9 @@
             self.unplaced_since = Some(now);
         }
         let ask_far = self.unplaced_since.is_some_and(|since| now >= since + ASK_FAR.1);
-        let told = Move { stage: message::encode_stage(self.controller.stage), part: self.controller.part };
-        self.tree.set_lease(rates.clone(), until, told);
+        let instruction =
+            Move { stage: message::encode_stage(self.controller.stage), part: self.controller.part };
+        self.tree.set_lease(rates.clone(), until, instruction);
         for &z in &other_zones {
             let near = self.site.distance[z] <= 1;
             let wish = rates[z] + if near || ask_far { unplaced } else { 0.0 };
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -37,16 +37,34 @@
     Down(Down<Move>),
     /// From one zone's leader to another's: requests a lease of spare capacity.
     Ask {
+        /// The sender's life.
         life: u32,
+        /// The sender's time stamp.
         stamp: u64,
+        /// The sender's zone.
         zone: u16,
+        /// RPCs per second that the sender would like to send there.
         wish: f32,
         /// RPCs per second that the asking zone now sends there.
         using: f32,
+        /// The lease version that the asking zone keeps to.
         holds: u32,
     },
     /// The answer to [`Message::Ask`]: a lease.
-    Grant { echo: u64, of: u32, zone: u16, version: u32, rate: f32, valid: u32 },
+    Grant {
+        /// The time stamp of the request that this answers.
+        echo: u64,
+        /// The life of the asking marshal.
+        of: u32,
+        /// The granting zone.
+        zone: u16,
+        /// The version of the lease.
+        version: u32,
+        /// RPCs per second that may be sent there.
+        rate: f32,
+        /// Validity in milliseconds, counted from when the request was sent.
+        valid: u32,
+    },
 }
 
 impl Message {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -35,8 +35,8 @@
 pub const GRANT_TERM: Duration = Duration::from_millis(2500);
 /// Maximum term of a lease within a group.
 pub const LEASE_TERM: Duration = Duration::from_millis(2000);
-/// How long a marshal that hears no more from its leader keeps to the last instruction; its leases have
-/// expired by then.
+/// How long a marshal that hears no more from its leader keeps to the last instruction after its lease has
+/// expired; it uses none of the leased rates in that time.
 pub const INSTRUCTION_LIFETIME: Duration = Duration::from_millis(3000);
 /// Duration of a vote given directly to the leader, and the addition for each further tree level.
 const VOTE_TERM: [Duration; 2] = [Duration::from_millis(3500), Duration::from_millis(1000)];
@@ -50,6 +50,7 @@
 /// A marshal's place in a group.
 #[derive(Clone, Debug)]
 pub struct Place {
+    /// This marshal.
     pub me: Number,
     /// Grows from start to start.
     pub life: u32,
@@ -66,10 +67,14 @@
 /// The lease that we hold for ourselves and our subtree.
 #[derive(Clone, Debug, Default)]
 struct HeldLease<D> {
+    /// The life of the lender; 0 if we are the leader.
     of: u32,
+    /// The version of the lease.
     version: u32,
+    /// The leased rate of each resource.
     rates: Vec<f32>,
     until: Duration,
+    /// The instruction that came with it.
     body: D,
 }
 
@@ -121,7 +126,7 @@
     skipped: BTreeMap<Number, Duration>,
     children: BTreeMap<Number, Child<U>>,
     held: HeldLease<D>,
-    /// The version of `max_rate` that our whole subtree keeps to, with the life of the lender.
+    /// The version of `held` that our whole subtree keeps to, with the life of the lender.
     confirmed: (u32, u32),
     /// What we leased out within the group, by resource.
     ledgers: Vec<Ledger>,
@@ -231,13 +236,13 @@
             self.parent.as_ref().filter(|p| timed_out(now, p.since, p.heard_at)).map(|p| p.number);
         silent_parent.into_iter().for_each(|number| self.skip(now, number));
         let me = self.place.me;
-        let fits = |n: &&Number| **n == me || (present(**n) && !self.skipped.contains_key(n));
-        let chain: Vec<Number> = self.order.iter().filter(fits).copied().collect();
-        let place = chain.iter().position(|n| *n == me).unwrap_or(0);
+        let eligible = |n: &&Number| **n == me || (present(**n) && !self.skipped.contains_key(n));
+        let chain: Vec<Number> = self.order.iter().filter(eligible).copied().collect();
+        let own_index = chain.iter().position(|n| *n == me).unwrap_or(0);
         let fan_out = self.place.fan_out.max(1);
         let parent_position = |i: usize| (i > 0).then(|| (i - 1) / fan_out);
-        self.depth = std::iter::successors(Some(place), |i| parent_position(*i)).count() as u32 - 1;
-        let to = parent_position(place).map(|i| chain[i]);
+        self.depth = std::iter::successors(Some(own_index), |i| parent_position(*i)).count() as u32 - 1;
+        let to = parent_position(own_index).map(|i| chain[i]);
         let changed = self.parent_number() != to;
         if changed {
             self.set_parent(now, to);
@@ -266,8 +271,8 @@
         let child_votes =
             self.children.values().filter(|c| c.votes_until >= now + required).map(|c| c.voices);
         let to = self.parent_number().unwrap_or(self.place.me);
-        let free = self.vote_given.0 == to || now >= self.vote_given.1;
-        if free {
+        let may_give = self.vote_given.0 == to || now >= self.vote_given.1;
+        if may_give {
             child_votes.fold(1, u16::saturating_add)
         } else {
             0
@@ -368,8 +373,8 @@
         }
         // The vote counts from when the child sent it, which was after it had received our time stamp.
         let echoed = of == self.life() && echo > 0 && Duration::from_millis(echo) <= now;
-        let before = self.children.get(&from).filter(|c| c.life == life).map(|c| c.votes_until);
-        let votes_until = if echoed && voices > 0 { at(echo, promise) } else { before.unwrap_or_default() };
+        let previous = self.children.get(&from).filter(|c| c.life == life).map(|c| c.votes_until);
+        let votes_until = if echoed && voices > 0 { at(echo, promise) } else { previous.unwrap_or_default() };
         self.ledgers.iter_mut().for_each(|l| l.confirm(from, holds));
         self.children.insert(from, Child { life, stamp, seen_at: now, votes_until, voices, body });
     }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala 2002: probes, indirect probes, suspicion with incarnation
 //! numbers, updates piggybacked on probes) with Lifeguard (Dadgar, Phillips, Currey 2018: local health
-//! multiplier, nacks, suspicion time-outs that shorten with independent confirmations, the suspect told
+//! multiplier, nacks, suspicion time-outs that shorten with independent confirmations, a suspect informed
 //! first). Each start of a member has its own `life` (a start epoch); a later life counts as a new member
 //! under the same number. Within a life, `turn` is SWIM's incarnation number. Members that were away catch up
 //! through digests of ranges of member numbers.
@@ -96,7 +96,9 @@
 /// A member as seen by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View<'a> {
+    /// The member.
     pub number: Number,
+    /// Its state.
     pub state: State,
     /// Start epoch of the member.
     pub life: u64,
--- a/crates/members/src/message.rs
+++ b/crates/members/src/message.rs
@@ -15,6 +15,7 @@
 pub enum State {
     /// Never heard of.
     Unknown,
+    /// Answers probes, or is not known to have missed one.
     Alive,
     /// Missed a probe; it can refute the suspicion.
     Suspect,
@@ -51,18 +52,23 @@
 pub struct Record {
     /// Counts up within a life.
     pub version: u32,
+    /// Content, of at most [`RECORD_BYTES`].
     pub bytes: Vec<u8>,
 }
 
 /// An update: the state of one member, with its record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
+    /// The member that the update is about.
     pub number: Number,
+    /// Its start epoch.
     pub life: u64,
+    /// Its incarnation within the life.
     pub turn: u32,
     pub state: State,
     /// The member that reports the suspicion.
     pub by: Number,
+    /// Its record, if it is present and has published one.
     pub record: Option<Record>,
 }
 
@@ -77,41 +83,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
     pub number: Number,
+    /// Its start epoch.
     pub life: u64,
+    /// Its incarnation within the life.
     pub turn: u32,
     pub state: State,
+    /// Version of its record, 0 without one.
     pub version: u32,
 }
 
 /// The kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
-    Ping {
-        seq: u32,
-    },
-    Ack {
-        seq: u32,
-    },
+    /// A probe.
+    Ping { seq: u32 },
+    /// The answer to a ping, with its sequence number.
+    Ack { seq: u32 },
     /// Asks the receiver to ping the target for the sender.
-    Ask {
-        seq: u32,
-        target: Number,
-    },
+    Ask { seq: u32, target: Number },
     /// The target of a requested ping has not answered yet.
-    Nack {
-        seq: u32,
-    },
+    Nack { seq: u32 },
     /// Digest of all members known to the sender from `start` up to but excluding `end`; a member left out is
     /// unknown to it.
-    Digest {
-        start: Number,
-        end: Number,
-        rows: Vec<DigestEntry>,
-    },
+    Digest { start: Number, end: Number, rows: Vec<DigestEntry> },
     /// Carries updates only; requests the updates of the listed members, of which the sender knows less.
-    Words {
-        want: Vec<Number>,
-    },
+    Words { want: Vec<Number> },
 }
 
 /// Encodes a message and as many of the updates as fit behind it, in order; returns the bytes and the number
