--- a/crates/measure/src/client.rs
+++ b/crates/measure/src/client.rs
@@ -1,4 +1,5 @@
-//! What the client library costs: time of a call beside bare sockets, memory of an app that rests.
+//! Measures the cost of the client library: time per call compared with bare sockets, and memory of an idle
+//! app.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -10,7 +11,7 @@
 
 use crate::part::Part;
 
-/// Calls in one turn, and turns of each.
+/// Calls per round, and rounds of each subject.
 const CALLS: usize = 500;
 const TURNS: usize = 8;
 
@@ -31,6 +32,10 @@
     Ok(began.elapsed())
 }
 
+/// Measures the client library and prints the result as text or JSON.
+///
+/// # Errors
+/// If a process can't be started or a call fails.
 pub fn run(clients: usize, as_json: bool) -> io::Result<()> {
     let (_nodes, addrs) = Part::listening(&["node".into(), "--ports".into(), "16".into()])?;
     let (_edge, at) = Part::listening(&["edge".into(), addrs[0].clone()])?;
@@ -42,7 +47,8 @@
     let mut stream = TcpStream::connect(&at[0])?;
     stream.set_nodelay(true)?;
     let (mut by_library, mut by_socket) = (Vec::new(), Vec::new());
-    // In turns, so that both meet the same machine; the first turn of each is not counted.
+    // The subjects alternate so that both see the same machine conditions; the first round of each is a
+    // warm-up.
     for turn in 0..TURNS {
         for _ in 0..CALLS {
             let began = Instant::now();
@@ -58,7 +64,7 @@
         }
     }
     let (library, socket) = (median(by_library), median(by_socket));
-    // The same process with few apps and with many, each with a standing connection and a call behind it.
+    // Runs the same process with few and with many apps, each with an open connection and one completed call.
     let mut held = Vec::new();
     for apps in [100, 100 + clients] {
         let zero = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + Duration::from_secs(4);
--- a/crates/measure/src/compare.rs
+++ b/crates/measure/src/compare.rs
@@ -1,4 +1,4 @@
-//! Runs the subjects in turns and prints what came out, as ratios.
+//! Measures the subjects alternately and prints their ratios.
 
 use std::io;
 use std::process::Command;
@@ -7,6 +7,7 @@
 
 use crate::part::Part;
 
+/// Parameters of a comparison.
 pub struct Plan {
     pub nodes: usize,
     pub connections: usize,
@@ -33,6 +34,10 @@
 
 const SUBJECTS: [&str; 4] = ["direct", "relay", "hyper", "edge"];
 
+/// Measures throughput and latency of all subjects and prints a table or JSON.
+///
+/// # Errors
+/// If a process can't be started or prints no result.
 pub fn compare(plan: &Plan) -> io::Result<()> {
     let (_nodes, addrs) = Part::listening(&["node".into(), "--ports".into(), plan.nodes.to_string()])?;
     let (town, nodes) = (addrs[0].clone(), addrs[1..].to_vec());
@@ -105,10 +110,15 @@
     Ok(())
 }
 
+/// Measures the memory of an edge per client connection: unused, idle and busy.
+///
+/// # Errors
+/// If a process can't be started or a connection fails.
 pub fn idle(connections: usize) -> io::Result<()> {
     let (_nodes, addrs) = Part::listening(&["node".into(), "--ports".into(), "16".into()])?;
     let (edge, at) = Part::listening(&["edge".into(), addrs[0].clone()])?;
-    // The runtime and the pool to nodes have their size before the first reading.
+    // The load lets the runtime and the connection pool to the nodes reach their size before the first
+    // reading.
     let plan = |connections| Plan { nodes: 16, connections, seconds: 2.0, rounds: 1, json: false };
     load(&at, &plan(64), None)?;
     let before = edge.resident()?;
@@ -128,7 +138,7 @@
         }
     }
     let used = edge.resident()?;
-    // All of them with an RPC in hand at once: the nodes are silent until their time is up.
+    // All connections now have an RPC in flight: the nodes don't answer before its deadline.
     for stream in &mut held {
         use std::io::Write;
         let rpc = b"POST /calendar-read HTTP/1.1\r\nHost: m\r\nX-Hold: 1\r\nContent-Length: 1\r\n\r\nx";
@@ -136,7 +146,7 @@
     }
     std::thread::sleep(std::time::Duration::from_millis(300));
     let busy = edge.resident()?;
-    // Those that have their answer already were turned away.
+    // A connection that already has an answer had its RPC rejected.
     for stream in &held {
         stream.set_nonblocking(true)?;
     }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,4 +1,4 @@
-//! The part of `ivydrift-measure` that tests use as well.
+//! The modules of `ivydrift-measure` that the tests use as well.
 #![forbid(unsafe_code)]
 
 pub mod scale;
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -1,5 +1,5 @@
-//! Load from one process: closed loop for throughput; open loop for latency, counted from when each RPC was due,
-//! so that a stall shows in all that it held up.
+//! Generates load from one process: closed loop for throughput, open loop for latency. Open-loop latency
+//! counts from the time each RPC was due, so that a stall shows in every RPC it delays.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,6 +31,10 @@
     }
 }
 
+/// Runs the load and prints counts and latencies as JSON.
+///
+/// # Errors
+/// If the histogram can't be created.
 pub fn run(to: &[SocketAddr], connections: usize, seconds: f64, rate: Option<f64>) -> io::Result<()> {
     prepare(1);
     let times = Arc::new(Mutex::new(
@@ -38,9 +42,9 @@
     ));
     let (ok, bad, done) =
         (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)), Arc::new(AtomicUsize::new(0)));
-    // Connections stand, and have been used, before the clock starts.
+    // The connections are open and have carried one RPC before the clock starts.
     let begin = Instant::now() + Duration::from_millis(500);
-    // What comes first is not counted: a proxy opens its connections to nodes meanwhile.
+    // Early RPCs don't count: a proxy opens its connections to the nodes in that time.
     let from = begin + Duration::from_millis(1500);
     let end = from + Duration::from_secs_f64(seconds);
     for n in 0..connections {
--- a/crates/measure/src/plot.rs
+++ b/crates/measure/src/plot.rs
@@ -1,4 +1,4 @@
-//! Handshakes and goodput by tenths of a second, as SVG.
+//! Draws handshakes and goodput per tenth of a second as SVG.
 
 use std::error::Error;
 use std::path::Path;
@@ -9,10 +9,14 @@
 
 const COLOURS: [RGBColor; 3] = [RGBColor(0, 110, 60), RGBColor(190, 120, 0), RGBColor(190, 30, 30)];
 
-/// Which of the counts is drawn.
+/// Selects the counters to draw.
 type List = fn(&Sum) -> &Vec<u64>;
 
-/// `killed`, `back`: when the marshal went and came, in seconds.
+/// Draws the chart to `file`; `killed` and `back` are the times, in seconds, at which the marshal was killed
+/// and restarted.
+///
+/// # Errors
+/// If the file can't be written.
 pub fn draw(file: &Path, sums: &[Sum], killed: f64, back: f64) -> Result<(), Box<dyn Error + Send + Sync>> {
     panels(file, sums, killed, back).map_err(|e| e.to_string().into())
 }
--- a/crates/measure/src/restart.rs
+++ b/crates/measure/src/restart.rs
@@ -1,5 +1,6 @@
-//! One marshal of three is killed under many clients that keep a connection, and comes back: how do the clients
-//! return, by the library and without it? And the same clients against nodes that can do less than is asked.
+//! Kills one of three marshals while many clients hold connections, restarts it, and measures how the clients
+//! return with and without the client library. Also runs the same clients against nodes whose capacity is
+//! below the offered load.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -19,25 +20,25 @@
 pub struct Restart {
     #[arg(long, default_value_t = 20_000)]
     pub clients: usize,
-    /// Processes that the clients are spread over
+    /// Number of processes the clients are divided over
     #[arg(long, default_value_t = 4)]
     pub processes: usize,
-    /// Calls a second of all clients
+    /// Calls per second of all clients together
     #[arg(long, default_value_t = 1500.0)]
     pub rate: f64,
-    /// Seconds from the clock's zero; the marshal is killed at 5 s
+    /// Seconds from time zero; the marshal is killed at 5 s
     #[arg(long, default_value_t = 30.0)]
     pub seconds: f64,
-    /// Seconds for which the marshal is away
+    /// Seconds until the marshal is restarted
     #[arg(long, default_value_t = 2.0)]
     pub away: f64,
-    /// Only these; all three without it
+    /// Measure only these manners; all three if omitted
     #[arg(long, value_enum)]
     pub manner: Vec<Manner>,
-    /// Write the tenths of seconds as CSV
+    /// Write the counts of each tenth of a second as CSV
     #[arg(long, value_name = "FILE")]
     pub csv: Option<PathBuf>,
-    /// Draw them as SVG
+    /// Draw these counts as SVG
     #[arg(long, value_name = "FILE")]
     pub svg: Option<PathBuf>,
     #[arg(long)]
@@ -48,7 +49,7 @@
 pub struct Overload {
     #[arg(long, default_value_t = 200)]
     pub clients: usize,
-    /// What is asked, as a multiple of what the nodes can do
+    /// Offered load as a multiple of the nodes' capacity
     #[arg(long, default_value_t = 1.5)]
     pub times: f64,
     #[arg(long, default_value_t = 12.0)]
@@ -66,7 +67,7 @@
     warm: bool,
     nodes: usize,
     work_ms: u64,
-    /// The first marshal goes for so long, at [`KILLED`].
+    /// Seconds for which the first marshal is down, from [`KILLED`]; `None`: it isn't killed.
     away: Option<f64>,
 }
 
@@ -129,7 +130,7 @@
         sum.tries += got["tries"].as_u64().unwrap_or(0);
         sum.late += got["late"].as_u64().unwrap_or(0);
         sum.unfinished += got["unfinished"].as_u64().unwrap_or(0);
-        // The worst of the processes: quantiles cannot be added.
+        // Quantiles can't be added, so this is the worst of the processes.
         sum.p99_ms = sum.p99_ms.max(got["p99_ms"].as_f64().unwrap_or(0.0));
     }
     let counted = crate::node::counted(&town)?;
@@ -137,6 +138,10 @@
     Ok(sum)
 }
 
+/// Measures the restart of a marshal for each manner and prints a table or JSON.
+///
+/// # Errors
+/// If a process can't be started or a file can't be written.
 pub fn restart(plan: &Restart) -> io::Result<()> {
     let setting = Setting {
         clients: plan.clients,
@@ -221,6 +226,10 @@
     Ok(())
 }
 
+/// Measures offered load beyond capacity for each manner and prints a table or JSON.
+///
+/// # Errors
+/// If a process can't be started.
 pub fn overload(plan: &Overload) -> io::Result<()> {
     const NODES: usize = 8;
     const WORK_MS: u64 = 20;
@@ -258,7 +267,7 @@
             calls,
             ok,
             ok / plan.seconds / capacity,
-            // Tries before zero are few beside the rest, and count.
+            // Attempts made before time zero count too; they are few compared with the rest.
             sum.tries as f64 / calls,
             sum.runs as f64 / ok,
             sum.p99_ms,
--- a/crates/measure/src/scale/bursts.rs
+++ b/crates/measure/src/scale/bursts.rs
@@ -1,5 +1,6 @@
-//! Bursts at list and desk: what a zone's loss, a restart of all marshals, a peak minute of changes and regions apart
-//! ask of them, with the real messages of the wire. Who watches which list is counted for several layouts.
+//! Load bursts at the node list and rollout controller, with real wire messages: loss of a zone, restart of
+//! all marshals, a peak minute of changes, and a network partition between regions. Counted for several
+//! layouts of which marshal watches which list.
 
 use std::time::Duration;
 
@@ -17,12 +18,12 @@
 use super::{Error, Plan, Table, MARSHALS, NODES, SERVICES, ZONES};
 
 const REGIONS: usize = 6;
-/// Changes of configuration on a day; a peak minute has ten times the mean.
+/// Configuration changes per day; a peak minute has [`PEAK`] times the mean.
 const CHANGES: f64 = 8_900.0;
 const PEAK: f64 = 10.0;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Bytes of one question as the edge asks it.
+/// Bytes of one request as the edge sends it.
 fn question(verb: &str, path: &str, body: usize) -> usize {
     let head = HeadWriter::request(verb, path)
         .field("host", "10.0.0.1:7001")
@@ -32,7 +33,7 @@
     head.finish().len() + body
 }
 
-/// Bytes of the messages of list and desk.
+/// Bytes of the messages of node list and rollout controller.
 pub struct Sizes {
     pub list_question: usize,
     pub desk_question: usize,
@@ -41,6 +42,7 @@
     pub vote_answer: usize,
 }
 
+/// Encodes each message and returns its size.
 pub fn sizes() -> Sizes {
     let news = core::released();
     let stage = news.stage.unwrap_or(desk::Stage {
@@ -60,15 +62,16 @@
     }
 }
 
-/// Who watches lists.
+/// Which marshals watch which node lists.
 pub struct Layout {
     pub name: &'static str,
-    /// Nodes on a list, lists that a marshal watches, and marshals that watch a list.
+    /// Nodes per list, lists watched by each marshal, and marshals watching each list.
     pub nodes: usize,
     pub lists: f64,
     pub watchers: f64,
 }
 
+/// The layouts that are compared.
 pub fn layouts() -> Vec<Layout> {
     let (each, marshals) = (NODES / SERVICES, MARSHALS as f64);
     let homes = |name, h: usize| {
@@ -83,22 +86,23 @@
     ]
 }
 
-/// What shipped modules ask of a list that is away.
+/// Requests of the shipped modules to a node list that is down.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
-    /// Questions a second while it is away, and the most within a second then.
+    /// Requests per second while it is down, and the most within one second of that time.
     pub rate: f64,
     pub most: usize,
-    /// On its return: the most within a tenth of a second and within a second, and seconds until all are told.
+    /// After its return: the most within 0.1 s and within one second, and seconds until the last request.
     pub tenth: usize,
     pub second: usize,
     pub all: f64,
 }
 
-/// The list is away from `modules` of all marshals for a minute; a longer time is the same, as waits grow no more.
+/// Takes the node list down for `modules` of all marshals for one minute. A longer outage gives the same
+/// rate, since the backoff is at its limit by then.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn outage(modules: usize, seed: u64) -> Result<Outage, Error> {
     let mut crowd = Crowd::new(Setup { of: MARSHALS, ..setup(modules, 1e-9, seed) })?;
     crowd.run(5 * SECOND);
@@ -119,8 +123,9 @@
     })
 }
 
-/// The desk is away for a minute: questions a second, and the most within a second of its return. Drawn here by the
-/// edge's rule: full jitter from 200 ms, doubled four times at most; `connect`: what one failure takes.
+/// Takes the rollout controller down for a minute. Returns the requests per second and the most within one
+/// second after its return. Simulates the edge's backoff: full jitter from 200 ms, doubled at most four
+/// times. `connect`: seconds until a connection attempt fails.
 pub fn desk_outage(marshals: usize, connect: f64, seed: u64) -> [f64; 2] {
     let mut dice = StdRng::seed_from_u64(seed);
     let (mut asked, mut back) = (0, Vec::new());
@@ -159,7 +164,7 @@
     for layout in layouts() {
         let listed = list::write(&core::nodes(layout.nodes)).len() as f64;
         let lists = if layout.nodes == NODES { 1.0 } else { SERVICES as f64 };
-        // `part`: that of all marshals which it reaches.
+        // `part`: share of the marshals that receive the change.
         let mut row = |what: &str, changed: f64, changes: f64, part: f64| {
             let watchers = layout.watchers * part;
             let (least, most) = (changed * watchers, changes * watchers);
@@ -174,7 +179,7 @@
                 mb(least * listed / MARSHALS as f64 / part),
             ]);
         };
-        // A list whose nodes lie in zones by lot has none in this one with this chance.
+        // If its nodes are placed in random zones, a list has no node in the lost zone with this probability.
         let touched = lists * (1.0 - left.powf(layout.nodes as f64));
         row("a zone is lost within 1 s, seen by the others", touched, zone_nodes, left);
         row("it returns within 1 s", touched, zone_nodes, 1.0);
@@ -189,8 +194,10 @@
     table
 }
 
+/// Measures the message sizes and the bursts.
+///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = sizes();
     let mut words = Table::new("Messages of list and desk", &["message", "bytes"]);
--- a/crates/measure/src/scale/cold.rs
+++ b/crates/measure/src/scale/cold.rs
@@ -1,5 +1,5 @@
-//! Cold budgets (rule 4) and caps on exposure (rule 5) of one service, divided over ever more marshals at the same
-//! traffic: what all modules together let through, against the bound.
+//! Slow-start budgets (rule 4) and exposure caps (rule 5) of one service, divided over more and more marshals
+//! at the same traffic: what all modules together let through, compared with the bound.
 
 use std::time::Duration;
 
@@ -10,36 +10,37 @@
 use super::{Error, Plan, Table, MARSHALS, RATE, SERVICES};
 
 const NODES: usize = 16;
-/// RPCs a second of one service.
+/// RPCs per second of one service.
 pub const SERVICE: f64 = RATE / SERVICES as f64;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Those of rule 5: the first cap, RPCs free, window in seconds.
+/// Defaults of rule 5: cap of the first stage, free RPCs, window in seconds.
 const CAP: [f64; 3] = [0.14, 2.0, 3.0];
 
+/// A simulation of `modules` marshals with the default votes: one half to promote, one third to roll back.
 pub fn setup(modules: usize, rate: f64, seed: u64) -> Setup {
     let votes = [modules.div_ceil(2), modules.div_ceil(3)];
     Setup { modules, of: modules, nodes: NODES, methods: 5, rate, peers: false, votes, seed }
 }
 
-/// What came of cold nodes.
+/// Traffic that cold nodes received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cold {
-    /// The worst window of the worst cold node: RPCs sent against the bound, one RPC over it allowed.
+    /// Worst window of the worst cold node: RPCs sent as a share of the bound, with one RPC over it allowed.
     pub worst: f64,
-    /// RPCs sent to a cold node on the mean, a second.
+    /// Mean RPCs per second sent to a cold node.
     pub mean: f64,
-    /// The part of all RPCs pushed back while nodes were cold.
+    /// Share of all RPCs pushed back while nodes were cold.
     pub pushed_back: f64,
 }
 
-/// `cold` of the nodes start again at once, after which RPCs come `times` as fast.
+/// Restarts `cold` of the nodes at once; from then on RPCs arrive `times` as fast.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn cold(modules: usize, cold: usize, times: f64, seed: u64) -> Result<Cold, Error> {
     let mut crowd = Crowd::new(setup(modules, SERVICE, seed))?;
-    // Warm nodes are busy half of the time.
+    // Warm nodes are at half of their capacity.
     let capacity = 2.0 * SERVICE / NODES as f64;
     crowd.capacity = Some(capacity);
     crowd.run(30 * SECOND);
@@ -66,23 +67,23 @@
     Ok(Cold { worst, mean: sent as f64 / 6.0 / cold as f64, pushed_back: back as f64 / rpcs as f64 })
 }
 
-/// What a build on trial in its first stage got.
+/// Traffic of a build on trial in its first stage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Exposed {
-    /// The most in any window; the sum of what each marshal may by its own account then; the bound of all as one.
+    /// Most RPCs in any window; the sum of each marshal's own budget; the budget of all marshals as one.
     pub most: f64,
     pub each: f64,
     pub one: f64,
-    /// The part of all RPCs.
+    /// Share of all RPCs.
     pub part: f64,
-    /// By how much the worst window lies over the sum of what each marshal may by the RPCs of that very window.
+    /// Largest excess of a window over the sum of the marshals' budgets for the RPCs of that same window.
     pub over: f64,
 }
 
-/// So many of the nodes run a build on trial, which is as good as the other.
+/// Runs `trial` of the nodes on a build on trial that is as good as the other.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn exposed(modules: usize, trial: usize, seed: u64) -> Result<Exposed, Error> {
     let mut crowd = Crowd::new(setup(modules, SERVICE, seed))?;
     crowd.run(10 * SECOND);
@@ -110,8 +111,10 @@
     })
 }
 
+/// Measures rule 4 and rule 5 for each number of marshals.
+///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[10, 100, 308, 1_000, MARSHALS]);
     let title = format!(
--- a/crates/measure/src/scale/core.rs
+++ b/crates/measure/src/scale/core.rs
@@ -1,5 +1,5 @@
-//! One shipped core with its module in virtual time: RPCs come at a rate, nodes answer after some milliseconds,
-//! ticks come when they are due.
+//! Runs one shipped core with its module in virtual time: RPCs arrive at a rate, nodes answer after some
+//! milliseconds, and ticks come when due.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,21 +17,24 @@
 use super::part::cpu;
 use super::{Error, MARSHALS, ZONES};
 
-/// The shell's zero lies a day before the start.
+/// Start of a run on the shell's clock, whose zero is one day earlier.
 pub const START: Duration = Duration::from_secs(86_400);
+/// Unix time, in milliseconds, of the shell's zero.
 pub const ZERO_MS: u64 = 1_700_000_000_000;
-/// What a node takes for an RPC, in milliseconds.
+/// Time that a node takes for an RPC, in milliseconds.
 pub const WORK_MS: std::ops::Range<f64> = 2.0..10.0;
 
+/// The name of the method with this index.
 pub fn method(n: usize) -> String {
     format!("shop-{}/method-{n}", n % 100)
 }
 
+/// The name of the tenant with this index.
 pub fn tenant(n: usize) -> String {
     format!("tenant-{n:06}")
 }
 
-/// Terms of one marshal as a file: so many methods and tenants, all else by default.
+/// The config file of one marshal with this many methods and tenants, all else by default.
 pub fn text(methods: usize, tenants: usize) -> String {
     let zones: Vec<String> = (0..ZONES).map(|z| format!("\"zone-{z}\"")).collect();
     let mut text = format!("zones = [{}]\nkinds = [\"full-1c\"]\n", zones.join(", "));
@@ -55,13 +58,15 @@
     text
 }
 
+/// The parsed config of one marshal with this many methods and tenants.
+///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn terms(methods: usize, tenants: usize) -> Result<Terms, Error> {
     ivydrift_terms::read("scale.hcl", &text(methods, tenants)).map_err(|e| e.to_string().into())
 }
 
-/// A listed node, by its number.
+/// The node list entry with this index.
 pub fn node(n: usize) -> Listed {
     let [.., a, b, c] = (n as u32).to_be_bytes();
     Listed {
@@ -77,17 +82,18 @@
     }
 }
 
+/// A node list with `count` entries.
 pub fn nodes(count: usize) -> Vec<Listed> {
     (0..count).map(node).collect()
 }
 
-/// Build 1 is out, and no other is on trial.
+/// The rollout controller's state: build 1 is released and none is on trial.
 pub fn released() -> News {
     let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
     News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }
 }
 
-/// What a run counted; processor times in seconds, without what reading the clock takes.
+/// Counters of a run; CPU times in seconds, without the time of reading the clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
     pub rpcs: u64,
@@ -99,19 +105,20 @@
     pub tick_cpu: f64,
 }
 
+/// A core with simulated nodes, clients and clock.
 pub struct Rig {
     pub core: Core,
     pub now: Duration,
     pub spent: Spent,
     id: Id,
-    /// Picks that are out, by when they are answered.
+    /// Picks in flight, ordered by the time of their answer.
     out: BinaryHeap<Reverse<(Duration, Id, usize)>>,
     dice: StdRng,
-    /// What two readings of the clock take, in seconds.
+    /// Seconds of CPU time of reading the clock.
     clock: f64,
 }
 
-/// One RPC as a client asks it.
+/// One RPC as a client sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     pub method: &'a str,
@@ -119,6 +126,7 @@
 }
 
 impl Rig {
+    /// Creates a core with this config. Calibrates the cost of reading the clock.
     pub fn new(terms: Terms, seed: u64) -> Rig {
         let from = cpu();
         (0..1000).for_each(|_| _ = std::hint::black_box(cpu()));
@@ -134,7 +142,7 @@
         }
     }
 
-    /// Hands in one input; what it took in processor time, in seconds, and how many orders it made.
+    /// Passes one input to the core. Returns its CPU time in seconds and the number of commands.
     pub fn tell(&mut self, input: Input) -> (f64, usize) {
         let from = cpu();
         let orders = self.core.handle(self.now, input);
@@ -154,12 +162,13 @@
         (took, orders.len())
     }
 
+    /// Passes the first node list and the rollout controller's state to the core.
     pub fn begin(&mut self, nodes: &[Listed]) {
         self.tell(Input::Membership(nodes));
         self.tell(Input::News(&released()));
     }
 
-    /// RPCs at `rate` a second, at random times, for so long; `ask` says what the next one is.
+    /// Runs for `span` with Poisson arrivals of `rate` RPCs per second; `ask` returns the next RPC.
     pub fn run<'a>(&mut self, span: Duration, rate: f64, mut ask: impl FnMut(u64) -> Ask<'a>) {
         let end = self.now + span;
         let mut next = self.now + self.gap(rate);
@@ -172,7 +181,7 @@
                 return;
             }
             self.now = self.now.max(at);
-            // Ticks first: what time brings is then not charged to an RPC.
+            // Ticks run first, so that due work is not charged to an RPC.
             if due <= self.now {
                 self.spent.tick_cpu += self.tell(Input::Tick).0;
                 self.spent.ticks += 1;
@@ -198,7 +207,7 @@
         Duration::try_from_secs_f64(-part.ln() / rate).unwrap_or(Duration::from_secs(1 << 40))
     }
 
-    /// Microseconds of processor time an RPC.
+    /// CPU time per RPC, in microseconds.
     pub fn per_rpc_us(&self) -> f64 {
         self.spent.rpc_cpu * 1e6 / self.spent.rpcs.max(1) as f64
     }
--- a/crates/measure/src/scale/crowd.rs
+++ b/crates/measure/src/scale/crowd.rs
@@ -1,5 +1,6 @@
-//! Many shipped modules of one service in virtual time, as their marshals would drive them: RPCs at random marshals,
-//! nodes that answer after some milliseconds, peers' datagrams that take one.
+//! Simulates many shipped modules of one service in virtual time, driven as their marshals would drive them:
+//! RPCs arrive at random marshals, nodes answer after some milliseconds, and peers' datagrams take one
+//! millisecond.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,18 +15,18 @@
 use super::core::{terms, START, WORK_MS};
 use super::{Error, ZONES};
 
-/// What a crowd is made of.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Modules that run, and how many marshals their terms name.
+    /// Number of modules that run, and of marshals in their config.
     pub modules: usize,
     pub of: usize,
     pub nodes: usize,
     pub methods: usize,
-    /// RPCs a second of all modules together.
+    /// RPCs per second over all modules.
     pub rate: f64,
     pub peers: bool,
-    /// Votes that move a build on and send it back.
+    /// Votes needed to promote a build and to roll it back.
     pub votes: [usize; 2],
     pub seed: u64,
 }
@@ -56,64 +57,66 @@
     }
 }
 
-/// What was seen of all modules, in the order of time.
+/// Observations of all modules, in order of time.
 #[derive(Default)]
 pub struct Seen {
     pub rpcs: Vec<Duration>,
-    /// Each pick: when, by which module, at which node, of which build.
+    /// Each pick: time, module, node and the node's build.
     pub picks: Vec<(Duration, usize, NodeIx, Build)>,
     pub ok: u64,
     pub pushed_back: Vec<Duration>,
     pub aborted: u64,
     pub votes: Vec<(Duration, usize, Verdict)>,
-    /// Picks that ended, and those that did not end ok, by build.
+    /// Picks that ended, and those of them that did not end ok, by build.
     pub ended: HashMap<Build, [u32; 2]>,
-    /// Questions to the node list.
+    /// Requests to the node list.
     pub asks: Vec<Duration>,
-    /// Datagrams to peers, their bytes, and those too long for one.
+    /// Datagrams to peers, their bytes, and the number of texts too long for a datagram.
     pub told: [u64; 3],
 }
 
-/// The figures of rule 4 by default: capacity at the start, seconds until warm, multiple, window in seconds.
+/// Defaults of rule 4 (slow start): share of the capacity at the start, seconds until warm, multiple of the
+/// capacity, window in seconds.
 pub const COLD: [f64; 4] = [0.4, 5.0, 3.0, 1.0];
 
-/// The part of its capacity that a node has so many seconds after its start.
+/// Share of its capacity that a node has `age` seconds after its start.
 pub fn present(age: f64) -> f64 {
     COLD[0] + (1.0 - COLD[0]) * (age / COLD[1]).clamp(0.0, 1.0)
 }
 
+/// Simulated modules, nodes and node list.
 pub struct Crowd {
     pub now: Duration,
     pub seen: Seen,
     pub entries: Vec<NodeEntry>,
-    /// The part of RPCs that fails, by build.
+    /// Share of the RPCs that fail, by build.
     pub fails: HashMap<Build, f64>,
-    /// The node list answers.
+    /// Whether the node list answers.
     pub list_up: bool,
     pub rate: f64,
-    /// RPCs a second that a warm node does, one after the other; none: as many as come.
+    /// RPCs per second of a warm node, which processes them one by one; `None`: unlimited.
     pub capacity: Option<f64>,
-    /// When each node is through with what it has.
+    /// Time at which each node finishes its queue.
     busy: Vec<Duration>,
     setup: Setup,
     modules: Vec<Marshal>,
     queue: BinaryHeap<Reverse<Held>>,
     seq: u64,
-    /// Picks of the RPCs in hand.
+    /// Number of picks of each RPC in flight.
     hands: HashMap<(usize, RpcIx), usize>,
     next: RpcIx,
     dice: StdRng,
 }
 
 impl Crowd {
-    /// All nodes run build 1, which is out, and have run it for long.
+    /// Creates the modules and nodes. All nodes run build 1, which has been released for a long time.
     ///
     /// # Errors
-    /// What is wrong with the terms.
+    /// If the config is invalid.
     pub fn new(setup: Setup) -> Result<Crowd, Error> {
         let base = terms(setup.methods, 0)?.rollout;
         let module = |nth: usize| {
-            // Fewer than there are stand for all: their numbers are spread.
+            // Fewer modules than marshals represent all of them, with evenly spaced marshal numbers.
             let (mut own, marshal) = (base.clone(), nth * setup.of / setup.modules);
             (own.marshal, own.marshals, own.zone) = (marshal, setup.of, marshal % ZONES);
             own.seed = marshal as u64 + 1 + (setup.seed << 32);
@@ -151,7 +154,7 @@
         };
         let whole = Event::Nodes { scope: Scope::Full, nodes: crowd.entries.clone() };
         let out = stage(1, 2, Course::Released, 1.0, Duration::from_secs(90));
-        // Each begins at its own time of a beat.
+        // Each module starts at its own phase of the tick.
         for module in 0..setup.modules {
             crowd.now = START + Duration::from_micros(crowd.dice.random_range(0..100_000));
             crowd.tell(module, vec![out.clone(), whole.clone()]);
@@ -172,7 +175,7 @@
         Duration::from_secs_f64((-part.ln() / self.rate).min(1e9))
     }
 
-    /// How long a node takes from now for one more RPC. What is given up stays in its queue.
+    /// Time until the node answers one more RPC from now on. Cancelled RPCs stay in its queue.
     fn answer(&mut self, node: NodeIx) -> Duration {
         let way = Duration::from_secs_f64(self.dice.random_range(WORK_MS) / 1000.0);
         let Some(capacity) = self.capacity else { return way };
@@ -182,12 +185,12 @@
         way + self.busy[node] - self.now
     }
 
-    /// The same to all modules at once.
+    /// Delivers the event to all modules at once.
     pub fn tell_all(&mut self, event: &Event) {
         (0..self.modules.len()).for_each(|module| self.tell(module, vec![event.clone()]));
     }
 
-    /// These nodes start again now, with this build.
+    /// Restarts these nodes now with this build.
     pub fn restart(&mut self, nodes: std::ops::Range<NodeIx>, build: Build) {
         let now = self.now;
         self.entries[nodes.clone()].iter_mut().for_each(|e| (e.started, e.build) = (Some(now), build));
@@ -219,7 +222,7 @@
                 Action::Tell { to, text } => {
                     self.seen.told[0] += 1;
                     self.seen.told[1] += text.len() as u64;
-                    // What is too long is never sent: `wire::peer::write` says none.
+                    // Too long a text is never sent: `wire::peer::write` returns none for it.
                     if text.len() > TEXT_BYTES {
                         self.seen.told[2] += 1;
                     } else if let Some(to) = to.filter(|to| *to < self.modules.len()) {
@@ -238,6 +241,7 @@
         }
     }
 
+    /// Runs for `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|h| h.0 .0 <= end) {
@@ -282,11 +286,12 @@
     }
 }
 
+/// An event that reports a rollout stage.
 pub fn stage(build: Build, stage: usize, course: Course, cap: f64, age: Duration) -> Event {
     Event::Stage { build, stage, course, reply: VoteReply::Unasked, cap, age }
 }
 
-/// The most events of sorted times within one span.
+/// The most events within one span; `times` are sorted.
 pub fn most_within(times: &[Duration], span: Duration) -> usize {
     let mut first = 0;
     let counts = times.iter().enumerate().map(|(i, at)| {
--- a/crates/measure/src/scale/evidence.rs
+++ b/crates/measure/src/scale/evidence.rs
@@ -1,4 +1,5 @@
-//! How long a verdict takes: from the shipped test alone by outcomes, and from shipped modules in virtual time.
+//! Time until a verdict on a build: by number of outcomes with the shipped test alone, and in virtual time
+//! with the shipped modules.
 
 use std::time::Duration;
 
@@ -12,18 +13,20 @@
 use super::table::{short, spread, whole};
 use super::{Error, Plan, Table, MARSHALS, ZONES};
 
-/// Builds that fail so much more, of all RPCs.
+/// Additional failure rates of a bad build.
 pub const WORSE: [f64; 4] = [0.02, 0.05, 0.2, 0.5];
-/// The part of RPCs that fails on either build.
+/// Failure rate of a good build.
 const USUAL: f64 = 0.001;
-/// The first stage's share.
+/// Traffic share of the first rollout stage.
 const SHARE: f64 = 0.1;
-/// By default a third of all marshals sends a build back.
+/// Share of the marshals whose votes roll a build back, by default.
 const BACK_PART: f64 = 1.0 / 3.0;
+/// Simulated trials per estimate.
 const TRIALS: usize = 400;
+/// Longest simulated trial.
 const LONGEST: Duration = Duration::from_secs(600);
 
-/// The shipped question of soundness, as a vote asks it.
+/// The shipped test of whether a build is unsound, as used for a vote.
 fn unsound(new: Tally, old: Tally) -> bool {
     let spread = old.mean() * (1.0 - old.mean());
     below(new, old, MARGIN[1], 1.0, spread, DELTA * BACK_PART)
@@ -34,7 +37,8 @@
     Tally { n: n as f64, good: good as f64 }
 }
 
-/// The part of trials in which so many outcomes of the new arm, with the older arm's share beside them, convict it.
+/// Share of trials in which `n` outcomes of the new arm convict it, with the old arm's outcomes in
+/// proportion.
 pub fn convicted(n: usize, worse: f64, seed: u64) -> f64 {
     let mut dice = StdRng::seed_from_u64(seed);
     let old = (n as f64 * (1.0 - SHARE) / SHARE) as usize;
@@ -42,7 +46,8 @@
     (0..TRIALS).filter(|_| one()).count() as f64 / TRIALS as f64
 }
 
-/// The fewest outcomes of the new arm with which `part` of all trials convict it, if nothing is forgotten.
+/// Fewest outcomes of the new arm with which the share `part` of all trials convicts it, without decay of the
+/// records.
 pub fn least(worse: f64, part: f64, seed: u64) -> Option<usize> {
     let enough = |n: usize| convicted(n, worse, seed) >= part;
     let mut high = LEAST_SAMPLE as usize;
@@ -64,14 +69,15 @@
     Some(high)
 }
 
-/// Seconds until the test convicts, with records halved as shipped, at so many RPCs a second; none within the
-/// longest. The first look that convicts counts: the pondering comes on top.
+/// Seconds until the test convicts at `rate` RPCs per second, with the shipped exponential decay of the
+/// records; `None` if not within [`LONGEST`]. Counts the first check that convicts; the confirmation period
+/// is not included.
 pub fn halved(worse: f64, rate: f64, seed: u64) -> Option<f64> {
     let mut dice = StdRng::seed_from_u64(seed);
     let step = Duration::from_millis(100);
     let (mut new, mut old, mut now, mut since) =
         (Tally::default(), Tally::default(), Duration::ZERO, Duration::ZERO);
-    // The older arm's record is full when the trial begins.
+    // The old arm's record is full when the trial begins.
     let standing = rate * HALVE.as_secs_f64();
     old.add(outcomes(&mut dice, standing as usize, USUAL), 1.0);
     while now < LONGEST {
@@ -93,7 +99,7 @@
     None
 }
 
-/// Who counts together.
+/// Groups of marshals that pool their counts.
 const GROUPS: [(&str, usize); 3] = [("alone", 1), ("a zone", MARSHALS / ZONES), ("all", MARSHALS)];
 
 fn by_test(seeds: u64) -> Vec<Table> {
@@ -137,41 +143,45 @@
     vec![whole_record, halving]
 }
 
-/// What modules made of a build on trial.
+/// Results of a trial.
 #[derive(Clone, Debug, Default)]
 pub struct Trial {
-    /// Seconds until the first module votes back, until a twentieth of them has, and until one votes on.
+    /// Seconds until the first vote to roll back, until a twentieth of the modules has voted so, and until
+    /// the first vote to promote.
     pub back: Option<f64>,
     pub enough: Option<f64>,
     pub on: Option<f64>,
-    /// Modules that voted on and that voted back within the span.
+    /// Modules that voted to promote and to roll back within the span.
     pub voted: [usize; 2],
-    /// Datagrams to peers a second of each, and the part of them that is too long to be sent.
+    /// Datagrams to peers per module and second, and the share of them too long to be sent.
     pub told: [f64; 2],
 }
 
-/// A trial as it is played.
+/// Parameters of a trial.
 #[derive(Clone, Copy, Debug)]
 pub struct Play {
     pub modules: usize,
-    /// RPCs a second of all modules.
+    /// RPCs per second over all modules.
     pub rate: f64,
     pub worse: f64,
     pub methods: usize,
-    /// The desk tells its counts of all picks once a second.
+    /// Whether the rollout controller publishes its counts of all picks once per second.
     pub sums: bool,
     pub seed: u64,
 }
 
+/// Seconds of a trial.
 const SPAN: u32 = 60;
 
-/// Two of sixteen nodes get a build that fails more; votes are as many as can stand at the desk.
+/// Runs a trial in which two of sixteen nodes get the worse build. The vote thresholds are the number of
+/// votes that the rollout controller lets stand at once.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn trial(play: Play) -> Result<Trial, Error> {
     let Play { modules, rate, worse, methods, sums, seed } = play;
-    // By default half and a third: at this size more than the desk lets stand, and none would be sent.
+    // The defaults, one half and one third, exceed at this size what the rollout controller lets stand, so no
+    // vote would be sent.
     let of = if modules == 1 { MARSHALS } else { modules };
     let votes = [of.div_ceil(10), of.div_ceil(20)];
     let setup = Setup { modules, of, nodes: 16, methods, rate, peers: modules > 1, votes, seed };
@@ -271,8 +281,10 @@
     Ok(vec![pooled, crowd])
 }
 
+/// Measures the time to a verdict by test and by modules.
+///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let mut tables = by_test(plan.runs() as u64);
     tables.extend(by_modules(plan)?);
--- a/crates/measure/src/scale/hollow.rs
+++ b/crates/measure/src/scale/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow marshals by their number: the shipped core with its memory, timers and datagrams, many in one process on links in
-//! virtual time. What control costs each of them: questions to list and desk, votes, peers, ticks.
+//! Measures hollow (simulated) marshals by their number: many shipped cores with memory, timers and datagrams
+//! in one process, on links in virtual time. Shows what the control plane costs each: requests to the node
+//! list and rollout controller, votes, peers, ticks.
 
 use std::time::Duration;
 
@@ -17,43 +18,44 @@
 pub mod world;
 
 const SIZES: [usize; 3] = [50, 200, 1000];
-/// Nodes of one service at the size that is looked at.
+/// Nodes of one service in the fleet under study.
 pub const SERVICE: usize = 16;
-/// What a marshal may spend on control: bytes of memory, part of a core, bytes a second.
+/// Control budget of a marshal: bytes of memory, share of a core, bytes per second.
 pub const BUDGET: (f64, f64, f64) = (64e6, 0.027, 22_000.0);
-/// Heads of IP and UDP.
+/// Bytes of the IP and UDP headers.
 const HEADS: u64 = 28;
-/// Lists of this many nodes, for the second form, and the marshals that share one.
+/// List lengths of the second series, and its number of marshals.
 const LISTS: [usize; 3] = [16, 20_000, 44_000];
 const FEW: usize = 10;
-/// Changes of the list a second at 44,000 nodes: 7,910 of them restart, are replaced or fail in a day, each twice seen.
+/// Node list changes per second at 44,000 nodes: per day 7,910 of them restart, are replaced or fail, and
+/// each appears twice.
 const CHANGES: f64 = 2.0 * 7910.0 / 86_400.0;
-/// Sizes above this are played for less time.
+/// Larger sizes run for a shorter time.
 const LARGE: usize = 1000;
 const NAMES: [&str; 3] = ["no RPCs", "95 RPCs a second each", "95 RPCs a second each, a build on trial"];
 
-/// How long the marshals are given to find one another: about as long as nine tenths of all pairs need.
+/// Time for the marshals to find one another: about as long as 90 % of all pairs need.
 fn settle(marshals: usize) -> Duration {
     Duration::from_secs((10 + marshals as u64 / 12).min(100))
 }
 
-/// How long each of the three stretches lasts that are measured.
+/// Duration of each of the three measured phases.
 fn stretch(marshals: usize) -> Duration {
     Duration::from_secs(if marshals > LARGE { 6 } else { 20 })
 }
 
-/// Bytes a second that control takes, both ways, with the heads of datagrams.
+/// Bytes of control traffic in both directions, with datagram headers.
 pub fn control_bytes(counts: &Counts) -> u64 {
     let peers = counts.sent.plus(counts.heard);
     peers.bytes + HEADS * peers.count + counts.list.bytes + counts.desk.bytes + counts.votes.bytes
 }
 
-/// What the core took for control.
+/// Time of the core for control.
 pub fn control_time(counts: &Counts) -> Duration {
     [counts.ticks, counts.heard, counts.list, counts.desk, counts.votes].iter().map(|d| d.took).sum()
 }
 
-/// One stretch's figures, for each marshal and second.
+/// The figures of one phase, per marshal and second.
 fn figures(counts: &Counts, world: &World, span: Duration, took: Duration) -> Value {
     let all = world.live().max(1) as f64 * span.as_secs_f64();
     let bytes = |n: u64| n as f64 / all;
@@ -70,7 +72,7 @@
     })
 }
 
-/// So many marshals, and their list; the three stretches one after the other, and the memory of each.
+/// Runs the three phases in sequence for this many marshals and nodes. Also measures the memory per marshal.
 fn part(marshals: usize, nodes: usize) -> Result<Value, Error> {
     let mut script = Script::new(marshals, nodes);
     script.rate = RATE / MARSHALS as f64;
@@ -88,7 +90,7 @@
     let mut world = World::new(script, &starts, threads);
     world.run(settle(marshals))?;
     let pairs = (marshals * (marshals - 1)).max(1) as f64;
-    eprintln!("{marshals} marshals: {:.3} of all pairs found", world.pairs() as f64 / pairs);
+    eprintln!("{marshals} marshals: {:.3} of all pairs see each other", world.pairs() as f64 / pairs);
     let begun = world.counts();
     let mut stretches = vec![];
     for name in NAMES {
@@ -106,14 +108,16 @@
     }))
 }
 
-/// A run in a process of its own.
+/// Performs one run in its own process.
 fn alone(marshals: usize, nodes: usize) -> Result<Value, Error> {
     let sizes = format!("{marshals},{nodes}");
     let mut part = std::process::Command::new(std::env::current_exe()?);
     part.args(["scale", "hollow", "--sizes", &sizes, "--part"]).stderr(std::process::Stdio::inherit());
     let out = part.output()?;
     if !out.status.success() {
-        return Err(format!("{marshals} hollow marshals with {nodes} nodes: {}", out.status).into());
+        return Err(
+            format!("run with {marshals} hollow marshals and {nodes} nodes failed: {}", out.status).into()
+        );
     }
     Ok(serde_json::from_slice(&out.stdout)?)
 }
@@ -165,10 +169,10 @@
     NAMES.iter().map(|name| Table::new(format!("{title}: {name}"), &head)).collect()
 }
 
-/// Hollow marshals by their number, and few of them by the length of their list.
+/// Measures the marshals by their number, and a few by the length of their node list.
 ///
 /// # Errors
-/// When a run failed.
+/// If a run fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     if plan.part {
         let size = |at: usize, or: usize| plan.sizes.get(at).copied().unwrap_or(or);
--- a/crates/measure/src/scale/hollow/host.rs
+++ b/crates/measure/src/scale/hollow/host.rs
@@ -1,4 +1,5 @@
-//! One hollow marshal: the shipped core, and of its shell as much as makes it ask, tell and tick as the real one does.
+//! One hollow marshal: the shipped core, with as much of a shell as it needs to send requests, datagrams and
+//! ticks like the real one.
 
 use std::time::{Duration, Instant};
 
@@ -13,20 +14,20 @@
 use super::script::{self, Script, DESK_HOLD, LIST_HOLD, WORK};
 use crate::scale::core::START;
 
-/// The shell ticks this often at least, and no sooner again than the second.
+/// Longest and shortest interval between the shell's ticks.
 const TICK: [Duration; 2] = [Duration::from_millis(20), Duration::from_micros(500)];
-/// One way to list, desk or node.
+/// One-way delay to node list, rollout controller or node.
 const WAY: Duration = Duration::from_micros(500);
 
-/// The shipped core of one marshal, by its terms and the Unix time, in milliseconds, a day before its start: the one place
-/// that makes it.
+/// Creates the shipped core of one marshal from its config and the Unix time, in milliseconds, one day before
+/// its start. All hollow marshals are created here.
 pub fn marshal(terms: Terms, zero_ms: u64) -> Core {
     let mut core = Core::new(terms, zero_ms);
     core.run_by("0.1.0-0123abcd".to_owned());
     core
 }
 
-/// What was done, and how long the core took for it.
+/// Count and bytes of one kind of work, and the core's time for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Done {
     pub count: u64,
@@ -41,6 +42,7 @@
         self.took += took;
     }
 
+    /// Adds the figures.
     pub fn plus(self, other: Done) -> Done {
         Done {
             count: self.count + other.count,
@@ -49,13 +51,14 @@
         }
     }
 
+    /// Subtracts earlier figures.
     pub fn since(self, earlier: Done) -> Done {
         let Done { count, bytes, took } = earlier;
         Done { count: self.count - count, bytes: self.bytes - bytes, took: self.took.saturating_sub(took) }
     }
 }
 
-/// What one marshal did since its start: bytes go both ways but where they are named.
+/// Counters of one marshal since its start; bytes are in both directions, except for `sent` and `heard`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     pub sent: Done,
@@ -66,7 +69,7 @@
     pub ticks: Done,
     pub rpcs: Done,
     pub ok: u64,
-    /// Lists that the shell would not take.
+    /// Node lists that the shell rejects.
     pub refused: u64,
 }
 
@@ -84,22 +87,24 @@
         }
     }
 
+    /// Adds the counters.
     pub fn plus(&self, other: &Counts) -> Counts {
         let refused = self.refused + other.refused;
         Counts { ok: self.ok + other.ok, refused, ..self.each(other, Done::plus) }
     }
 
+    /// Subtracts earlier counters.
     pub fn since(&self, earlier: &Counts) -> Counts {
         let refused = self.refused - earlier.refused;
         Counts { ok: self.ok - earlier.ok, refused, ..self.each(earlier, Done::since) }
     }
 }
 
-/// What is to happen to a marshal later, of its own making.
+/// An event that a marshal schedules for itself.
 #[derive(Clone, Debug)]
 pub enum Own {
     Tick,
-    /// The answer of list or desk, as it was said at that time.
+    /// The answer of node list or rollout controller, with the time at which it was sent.
     List(Duration),
     Desk(Duration),
     Voted(Vote),
@@ -110,15 +115,16 @@
     },
 }
 
-/// What comes of what a marshal was told: its own later events, and datagrams to others, each with its time.
+/// Effects of an input: the marshal's own later events, and datagrams to others, each with its time.
 #[derive(Default)]
 pub struct Later {
     pub own: Vec<(Duration, Own)>,
     pub mail: Vec<(Duration, usize, Vec<u8>)>,
-    /// States that it saw others enter: whom, and whether it was present before and is now.
+    /// State changes seen: the other marshal, and whether it was present before and is now.
     pub saw: Vec<(usize, bool, bool)>,
 }
 
+/// A simulated marshal.
 pub struct Host {
     pub number: usize,
     pub counts: Counts,
@@ -134,6 +140,7 @@
 }
 
 impl Host {
+    /// Starts a marshal: schedules its first tick, its first request to the rollout controller and its RPCs.
     pub fn start(
         number: usize, terms: Terms, delay: [Duration; 2], now: Duration, script: &Script, later: &mut Later,
     ) -> Host {
@@ -161,7 +168,7 @@
         host
     }
 
-    /// How many nodes it may send to.
+    /// Number of nodes that it may send to.
     pub fn ready(&self) -> usize {
         self.core.ready()
     }
@@ -184,13 +191,14 @@
         later.own.push((said + WAY, Own::Desk(said)));
     }
 
-    /// A datagram comes in.
+    /// Processes a received datagram.
     pub fn hear(&mut self, now: Duration, bytes: &[u8], script: &Script, later: &mut Later) {
         let took = self.tell(now, Input::Peer(bytes), script, later);
         self.counts.heard.add(bytes.len(), took);
     }
 
-    /// `lists`: the answer of the list as bytes, by the time that it was said.
+    /// Processes one of its own events. `lists`: the body of the node list's answer by the time at which it
+    /// was sent.
     pub fn own(
         &mut self, now: Duration, own: Own, script: &Script,
         lists: &dyn Fn(Duration) -> std::sync::Arc<Vec<u8>>, later: &mut Later,
@@ -219,7 +227,7 @@
                     self.index[0] = index;
                     self.ask_list(now, script, later);
                 } else {
-                    // The module says when to ask again.
+                    // The module decides when to ask again.
                     (self.watching, self.counts.refused) = (false, self.counts.refused + 1);
                 }
             }
@@ -244,7 +252,7 @@
                     Call { method: &method, tenant: None, key: None, tokened: false, left, repeated: false };
                 let took = self.tell(now, Input::Rpc { id, call }, script, later);
                 self.counts.rpcs.add(0, took);
-                // In equal steps, as the clients of the real ones come.
+                // RPCs arrive at equal intervals, as from the clients of the real marshals.
                 later.own.push((now + Duration::from_secs_f64(1.0 / script.rate), Own::Rpc(n + 1)));
             }
             Own::Answer { id, pick } => {
@@ -256,7 +264,7 @@
         }
     }
 
-    /// One vote is out at a time, as the shell has it.
+    /// Sends a vote; like the shell, at most one at a time.
     fn vote(&mut self, now: Duration, vote: Vote, later: &mut Later) {
         if std::mem::replace(&mut self.voting, true) {
             self.next_vote = Some(vote);
@@ -282,7 +290,7 @@
         self.counts.votes.add(bytes, took);
     }
 
-    /// Tells the core, and does what it orders; how long the core took.
+    /// Passes an input to the core and executes its commands. Returns the core's time.
     fn tell(&mut self, now: Duration, input: Input, script: &Script, later: &mut Later) -> Duration {
         let from = Instant::now();
         let orders = self.core.handle(self.clock(now), input);
@@ -311,13 +319,13 @@
         took
     }
 
-    /// The shell's clock: its zero lies a day before this marshal's start.
+    /// Time on the shell's clock, whose zero is one day before this marshal's start.
     fn clock(&self, now: Duration) -> Duration {
         START + now.saturating_sub(self.began)
     }
 }
 
-/// What a line of the log says of another marshal: its number, and whether it was and is present.
+/// Parses a log line about another marshal: its number, and whether it was and is present.
 pub fn seen(line: &str) -> Option<(usize, bool, bool)> {
     let (number, rest) = line.strip_prefix("marshal ")?.split_once(": ")?;
     let (from, rest) = rest.split_once(" to ")?;
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -1,5 +1,5 @@
-//! What happens round a fleet of marshals, by time: the list, the desk and the RPCs. Hollow marshals and real processes are
-//! played the same.
+//! Script of a fleet's environment over time: node list, rollout controller and RPCs. Hollow marshals and
+//! real processes use the same script.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -13,37 +13,37 @@
 use crate::scale::core::{method, node, ZERO_MS};
 use crate::scale::{Error, ZONES};
 
-/// Questions to the list, and to the desk, are held for so long by the shell's own hand.
+/// Long-poll times with which the shell asks the node list and the rollout controller.
 pub const LIST_HOLD: Duration = Duration::from_secs(10);
 pub const DESK_HOLD: Duration = Duration::from_secs(5);
-/// A node answers after so long.
+/// Time that a node takes for an RPC.
 pub const WORK: Duration = Duration::from_millis(2);
 const METHODS: usize = 5;
 
-/// A script; times are since the fleet's start.
+/// A script; times count from the fleet's start.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub marshals: usize,
-    /// As they are listed at first.
+    /// The node list at the start.
     pub nodes: Vec<Listed>,
-    /// RPCs a second of one marshal, and when they begin.
+    /// RPCs per second of one marshal, and their start.
     pub rate: f64,
     pub rpcs_from: Duration,
-    /// One node begins to drain, or is back, this often.
+    /// Interval of node list changes: a node starts to drain, or returns.
     pub turn: Duration,
-    /// The desk has new sums this often.
+    /// Interval of new sums of the rollout controller.
     pub sums: Duration,
-    /// From then on an eighth of the nodes runs build 2, on trial.
+    /// Time from which an eighth of the nodes runs build 2, on trial.
     pub trial: Duration,
-    /// A list that the shell would refuse for its length is taken all the same, to see what it would cost.
+    /// Whether to accept a list that the shell rejects for its length, to measure its cost.
     pub beyond: bool,
-    /// Unix time, in milliseconds, a day before the fleet's start.
+    /// Unix time, in milliseconds, one day before the fleet's start.
     pub zero_ms: u64,
-    /// Marshals know of one another.
+    /// Whether the marshals are peers of one another.
     pub peers: bool,
 }
 
-/// Where everybody is.
+/// Addresses for a marshal's config.
 #[derive(Clone, Copy, Debug)]
 pub struct Places<'a> {
     pub listen: SocketAddr,
@@ -53,6 +53,7 @@
 }
 
 impl Script {
+    /// A script without RPCs and trial for this many marshals and nodes.
     pub fn new(marshals: usize, nodes: usize) -> Script {
         Script {
             marshals,
@@ -68,11 +69,12 @@
         }
     }
 
+    /// The zone of a marshal.
     pub fn zone(&self, marshal: usize) -> usize {
         marshal * ZONES / self.marshals.max(1)
     }
 
-    /// Terms of one marshal, as a file.
+    /// The config file of one marshal.
     pub fn text(&self, number: usize, places: &Places) -> String {
         let quoted = |all: Vec<String>| all.iter().map(|t| format!("\"{t}\"")).collect::<Vec<_>>().join(", ");
         let zones = quoted((0..ZONES).map(|z| format!("zone-{z}")).collect());
@@ -99,10 +101,11 @@
         text
     }
 
-    /// Terms of all marshals, by the first one's: a file for each would hold all peers once more.
+    /// A function that returns the config of each marshal. It clones the first marshal's config, since a
+    /// parsed file per marshal would hold the whole peer list again.
     ///
     /// # Errors
-    /// What is wrong with the terms.
+    /// If the config is invalid.
     pub fn terms(&self) -> Result<impl Fn(usize) -> Terms + '_, Error> {
         let at = |n: usize| SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 7100));
         let peers: Vec<SocketAddr> = (0..self.marshals).filter(|_| self.peers).map(at).collect();
@@ -117,20 +120,22 @@
         })
     }
 
+    /// The method of an RPC.
     pub fn method(&self, rpc: u64) -> String {
         method(rpc as usize % METHODS)
     }
 
-    /// Changes of the list so far, those by the trial left out.
+    /// Number of node list changes so far, without the one of the trial.
     fn turns(&self, at: Duration) -> u64 {
         (at.as_nanos() / self.turn.as_nanos().max(1)) as u64
     }
 
+    /// The index of the node list at this time.
     pub fn list_index(&self, at: Duration) -> u64 {
         1 + self.turns(at) + u64::from(at >= self.trial)
     }
 
-    /// When the list changes next.
+    /// Time of the next node list change.
     pub fn list_changes(&self, at: Duration) -> Duration {
         let turn = self.turn.saturating_mul(self.turns(at) as u32 + 1);
         if at < self.trial {
@@ -140,10 +145,11 @@
         }
     }
 
+    /// The node list at this time.
     pub fn list(&self, at: Duration) -> Vec<Listed> {
         let (mut nodes, turns, count) = (self.nodes.clone(), self.turns(at), self.nodes.len().max(1));
         let since = |turn: u64| Some(self.zero_ms + 86_400_000 + (self.turn.as_millis() as u64) * turn);
-        // Two turns for each node: it drains, and is back as a process that has just started.
+        // Each node changes twice: it drains, then returns as a process that has just started.
         for turn in 1..=turns {
             let node = &mut nodes[(turn as usize - 1) / 2 % count];
             if turn % 2 == 1 {
@@ -161,6 +167,7 @@
         nodes
     }
 
+    /// The rollout stage at this time.
     pub fn stage(&self, at: Duration) -> Stage {
         if at >= self.trial {
             let age_ms = (at - self.trial).as_millis() as u64;
@@ -169,10 +176,12 @@
         Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 }
     }
 
+    /// The index of the rollout controller's state at this time.
     pub fn news_index(&self, at: Duration) -> u64 {
         1 + (at.as_nanos() / self.sums.as_nanos().max(1)) as u64 + u64::from(at >= self.trial)
     }
 
+    /// Time of the next change of the rollout controller's state.
     pub fn news_changes(&self, at: Duration) -> Duration {
         let next = self.sums.saturating_mul((at.as_nanos() / self.sums.as_nanos().max(1)) as u32 + 1);
         if at < self.trial {
@@ -182,6 +191,7 @@
         }
     }
 
+    /// The rollout controller's state at this time.
     pub fn news(&self, at: Duration) -> News {
         let builds = if at >= self.trial { 2 } else { 1 };
         let sums = |build: u32| {
@@ -199,7 +209,7 @@
     }
 }
 
-/// A question as the shell writes it; its body apart.
+/// The head of a request as the shell writes it; `body` is the length of its body.
 pub fn question(verb: &str, path: &str, number: usize, body: usize) -> Vec<u8> {
     HeadWriter::request(verb, path)
         .field("host", "127.0.0.1:30001")
@@ -209,21 +219,24 @@
         .finish()
 }
 
+/// A request to the node list.
 pub fn list_question(number: usize, index: u64) -> Vec<u8> {
     question("GET", &list::path("shop", index, LIST_HOLD.as_secs()), number, 0)
 }
 
+/// A request to the rollout controller.
 pub fn desk_question(number: usize, index: u64) -> Vec<u8> {
     let path = format!("/v1/stage?index={index}&wait={}s&marshal={number}", DESK_HOLD.as_secs());
     question("GET", &path, number, 0)
 }
 
+/// A vote to the rollout controller, with its body.
 pub fn vote_question(number: usize, vote: &Vote) -> Vec<u8> {
     let body = ivydrift_wire::desk::write(vote);
     [question("POST", "/v1/votes", number, body.len()), body].concat()
 }
 
-/// An answer of list or desk, whole.
+/// A complete answer of the node list or rollout controller.
 pub fn answer(index: u64, body: &[u8]) -> Vec<u8> {
     let head = HeadWriter::response(200)
         .field(list::INDEX, index.to_string())
--- a/crates/measure/src/scale/hollow/world.rs
+++ b/crates/measure/src/scale/hollow/world.rs
@@ -1,5 +1,6 @@
-//! Many hollow marshals in virtual time. They meet by datagrams only, and no datagram takes less than a window, so in each
-//! window the marshals can be played by several threads; the run is the same with any number of them.
+//! Simulates many marshals in virtual time. They interact only by datagrams, and no datagram takes less than
+//! one window, so several threads can process a window in parallel. The result doesn't depend on the number
+//! of threads.
 
 use std::collections::BinaryHeap;
 use std::sync::{Arc, Barrier, Mutex};
@@ -12,7 +13,7 @@
 use crate::scale::Error;
 use ivydrift_wire::list;
 
-/// The shortest time of a datagram, and how much of time is played at once.
+/// Shortest delay of a datagram, and the step by which the simulation advances.
 pub const WINDOW: Duration = Duration::from_millis(1);
 const DELAY: [Duration; 2] = [WINDOW, Duration::from_millis(3)];
 
@@ -26,7 +27,8 @@
 struct Event {
     at: Duration,
     to: usize,
-    /// Who made it, and as its how manyth: two runs put the same events into the same order.
+    /// The marshal that created it and that marshal's event number. This orders simultaneous events
+    /// reproducibly.
     by: (usize, u64),
     what: What,
 }
@@ -52,18 +54,19 @@
 }
 
 impl Ord for Event {
-    /// The earliest is the greatest, for a heap that gives the greatest first.
+    /// Reversed, so that the max-heap yields the earliest event first.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         other.order().cmp(&self.order())
     }
 }
 
-/// What one of the threads plays: each so manyth marshal.
+/// The marshals of one thread: every n-th of them.
 #[derive(Default)]
 struct Shard {
     hosts: Vec<Slot>,
     queue: BinaryHeap<Event>,
-    /// Moments at which a marshal saw another come or go: who saw it, whom, and whether it came.
+    /// State changes seen by marshals: time, observer, observed marshal, and whether it appeared (true) or
+    /// vanished.
     saw: Vec<(Duration, usize, usize, bool)>,
     present: u64,
 }
@@ -74,7 +77,7 @@
     made: u64,
 }
 
-/// The list's answers, the last of them kept.
+/// The latest answer of the node list, cached.
 #[derive(Default)]
 struct Lists(Mutex<Option<(u64, Arc<Vec<u8>>)>>);
 
@@ -91,17 +94,18 @@
     }
 }
 
+/// A simulated fleet of marshals.
 pub struct World {
     pub now: Duration,
     script: Script,
     shards: Vec<Shard>,
     lists: Lists,
-    /// Whether what each saw is kept, moment by moment.
+    /// Whether to record the state changes seen by each marshal.
     pub keeps: bool,
 }
 
 impl World {
-    /// Marshal `n` starts at `starts[n]`.
+    /// Creates the marshals; marshal `n` starts at `starts[n]`.
     pub fn new(script: Script, starts: &[Duration], threads: usize) -> World {
         let mut shards: Vec<Shard> = (0..threads.max(1)).map(|_| Shard::default()).collect();
         for (n, at) in starts.iter().enumerate() {
@@ -116,47 +120,49 @@
         self.shards.iter().flat_map(|s| &s.hosts)
     }
 
-    /// Sums of all that live.
+    /// Counters of all running marshals, summed.
     pub fn counts(&self) -> Counts {
         let live = self.slots().filter_map(|s| s.host.as_ref());
         live.fold(Counts::default(), |sum, host| sum.plus(&host.counts))
     }
 
-    /// The marshal that sent most, in datagrams.
+    /// Most datagrams sent by one marshal.
     pub fn most_sent(&self) -> u64 {
         self.slots().filter_map(|s| s.host.as_ref()).map(|h| h.counts.sent.count).max().unwrap_or(0)
     }
 
+    /// Number of running marshals.
     pub fn live(&self) -> usize {
         self.slots().filter(|s| s.host.is_some()).count()
     }
 
-    /// Fewest nodes that a marshal may send to.
+    /// Smallest number of nodes that a marshal may send to.
     pub fn least_ready(&self) -> usize {
         self.slots().filter_map(|s| s.host.as_ref()).map(|h| h.ready()).min().unwrap_or(0)
     }
 
-    /// Pairs of marshals of which the first saw the second come, less those that it saw go.
+    /// Pairs of marshals of which the first sees the second: appearances less disappearances.
     pub fn pairs(&self) -> u64 {
         self.shards.iter().map(|s| s.present).sum()
     }
 
-    /// Moments at which a marshal saw another come or go, where they are kept.
+    /// The recorded state changes in order of time; see [`World::keeps`].
     pub fn saw(&self) -> Vec<(Duration, usize, usize, bool)> {
         let mut all: Vec<_> = self.shards.iter().flat_map(|s| &s.saw).copied().collect();
         all.sort_unstable();
         all
     }
 
+    /// Kills marshal `n`.
     pub fn kill(&mut self, n: usize) {
         let (at, count) = (self.now, self.shards.len());
         self.shards[n % count].queue.push(Event { at, to: n, by: (n, u64::MAX), what: What::Kill });
     }
 
-    /// Runs for so long.
+    /// Runs for `span`.
     ///
     /// # Errors
-    /// What is wrong with the terms.
+    /// If the config is invalid.
     pub fn run(&mut self, span: Duration) -> Result<(), Error> {
         let World { script, shards, lists, now, keeps } = self;
         let terms = script.terms()?;
@@ -199,7 +205,7 @@
     }
 }
 
-/// What all marshals of a thread need in a window.
+/// State shared by the marshals of a thread in one window.
 struct Round<'a> {
     script: &'a Script,
     lists: &'a Lists,
@@ -209,7 +215,7 @@
 }
 
 impl Shard {
-    /// Plays all that happens before `until`.
+    /// Processes all events before `until`.
     fn window(&mut self, until: Duration, threads: usize, round: &mut Round) {
         let mut later = Later::default();
         while self.queue.peek().is_some_and(|e| e.at < until) {
--- a/crates/measure/src/scale/meeting.rs
+++ b/crates/measure/src/scale/meeting.rs
@@ -1,5 +1,5 @@
-//! Who meets which service, and how many connections a node then gets: counts only, with the nodes that shipped
-//! modules pick.
+//! Which marshals serve which service, and the resulting connections per node: counts only, with the nodes
+//! picked by the shipped modules.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashMap;
@@ -12,13 +12,14 @@
 use super::table::{short, spread, whole};
 use super::{Error, Plan, Table, MARSHALS, NODES, RATE, SERVICES, ZONES};
 
-/// Marshals that serve one service: all, or some of each zone.
+/// Marshals of each zone that serve one service; 0: all marshals serve it.
 pub const HOMES: [usize; 5] = [0, 8, 4, 2, 1];
-/// Idle connections are kept so long, by default.
+/// Default time for which an idle connection is kept.
 const KEPT: Duration = Duration::from_secs(30);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Each service's RPCs a second: all alike, or the nth in the order of size with one nth of the first's.
+/// RPCs per second of each service: all equal, or those of the n-th largest service one n-th of the
+/// largest's.
 fn rates(alike: bool) -> Vec<f64> {
     let weight = |n: usize| if alike { 1.0 } else { 1.0 / (n + 1) as f64 };
     let all: f64 = (0..SERVICES).map(weight).sum();
@@ -31,7 +32,8 @@
     hasher.finish()
 }
 
-/// The marshals of each service: in each zone those of the highest hash with the service's name.
+/// The marshals of each service: in each zone those with the highest hash of service and marshal (rendezvous
+/// hashing).
 pub fn homes(each: usize) -> Vec<Vec<usize>> {
     let of = |service: usize| -> Vec<usize> {
         if each == 0 {
@@ -48,18 +50,20 @@
     (0..SERVICES).map(of).collect()
 }
 
-/// What one layout makes of the marshals.
+/// Load of the marshals in one layout.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Layout {
+    /// Mean marshals per service.
     pub marshals: f64,
-    /// Services of a marshal, mean and worst, and RPCs a second of the worst.
+    /// Services per marshal, mean and worst, and RPCs per second of the busiest marshal.
     pub services: f64,
     pub most: f64,
     pub busiest: f64,
-    /// Services that a marshal has had an RPC of within 30 s, and within 300 s.
+    /// Mean number of services of which a marshal has had an RPC within 30 s, and within 300 s.
     pub held: [f64; 2],
 }
 
+/// Computes the load with `each` marshals per zone and service; see [`HOMES`].
 pub fn layout(each: usize, alike: bool) -> Layout {
     let (rates, homes) = (rates(alike), homes(each));
     let mut load = vec![(0usize, 0.0, [0.0; 2]); MARSHALS];
@@ -84,10 +88,11 @@
     }
 }
 
-/// Nodes to which one marshal's module has an idle or used connection, mean over time, and new ones a second.
+/// Mean number of nodes to which one marshal's module has an idle or used connection, and new connections per
+/// second.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn connections(nodes: usize, rate: f64, seconds: u32, seed: u64) -> Result<[f64; 2], Error> {
     let mut crowd = Crowd::new(Setup { nodes, of: MARSHALS, ..setup(1, rate, seed) })?;
     let (mut last, mut sum, mut fresh) = (HashMap::new(), 0.0, 0.0);
@@ -112,8 +117,10 @@
     }
 }
 
+/// Measures the layouts and their connections.
+///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let title =
         format!("Who meets which service: {MARSHALS} marshals, {SERVICES} services, {RATE:.0} RPCs a second");
@@ -192,7 +199,7 @@
     let mut today = Table::new(title, &head);
     for size in plan.sizes_or(&[300, 3_000, NODES]) {
         let [held, fresh] = connections(size, EACH, 40, 1)?;
-        // Each module has an order of its own, by lot.
+        // Each module has its own random node order.
         let mut at = vec![0u32; size];
         for marshal in 0..MARSHALS {
             let mut first: Vec<usize> = Vec::new();
--- a/crates/measure/src/scale/members/world.rs
+++ b/crates/measure/src/scale/members/world.rs
@@ -1,5 +1,6 @@
-//! Members in virtual time, thousands in one process: the shipped membership on links with delays. Who sees whom is counted as
-//! it changes and not looked up, so that a fleet of thousands can be asked at any moment whether all see all.
+//! Simulates thousands of members in one process in virtual time: the shipped membership on links with
+//! delays. Who sees whom is counted incrementally rather than recomputed, so that even with thousands of
+//! members the simulation can check at every event whether all see all.
 
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -8,16 +9,18 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Zones, two of which make a region.
+/// Number of zones; two form a region.
 pub const ZONES: usize = 12;
+/// Number of regions.
 pub const REGIONS: usize = 6;
-/// A datagram is on its way for some time between these.
+/// Shortest and longest delay of a datagram.
 const DELAY: [Duration; 2] = [Duration::from_millis(1), Duration::from_millis(3)];
-/// Each member says something new this often, as the marshal does.
+/// Interval at which each member publishes a new record, as in the marshal.
 const RENEW: Duration = Duration::from_millis(500);
-/// A record's bytes; the first eight say when it was made.
+/// Size of a record; its first eight bytes are the time of its creation.
 const RECORD: usize = 80;
 
+/// A duration of `n` seconds.
 pub fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
 }
@@ -49,29 +52,30 @@
 }
 
 impl Ord for Event {
-    /// The earliest is the greatest, for a heap that gives the greatest first.
+    /// Reversed, so that the max-heap yields the earliest event first.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.seq).cmp(&(self.at, self.seq))
     }
 }
 
+/// A simulated fleet of members.
 pub struct World {
     pub now: Duration,
-    /// Regions do not hear one another.
+    /// The regions are partitioned from one another.
     pub apart: bool,
-    /// How long after its death each living member found each dead one, in seconds.
+    /// Seconds from a member's death until each living member noticed it.
     pub deaths: Vec<f32>,
-    /// Words of death about members that live.
+    /// Death notices about members that are alive.
     pub false_deaths: u64,
     count: Number,
     ones: Vec<Option<Box<Members>>>,
     lives: Vec<u64>,
     ticks: Vec<Duration>,
     killed: Vec<Option<Duration>>,
-    /// How many living members take each for present.
+    /// Number of living members that see each member as present.
     seen_by: Vec<u64>,
     live: u64,
-    /// Pairs of members of which the first sees the second as it is not.
+    /// Ordered pairs of members of which the first sees the second in the wrong state.
     wrong: u64,
     queue: BinaryHeap<Event>,
     seq: u64,
@@ -80,6 +84,7 @@
 }
 
 impl World {
+    /// Creates `count` members that start at once.
     pub fn new(count: Number, seed: u64) -> Self {
         let all = usize::from(count);
         let mut world = World {
@@ -106,6 +111,7 @@
         world
     }
 
+    /// The zone of member `n`.
     pub fn zone(&self, n: Number) -> usize {
         usize::from(n) * ZONES / usize::from(self.count)
     }
@@ -124,7 +130,7 @@
         self.wake(n);
     }
 
-    /// It starts anew, as a new life.
+    /// Restarts member `n` with a new incarnation.
     pub fn start(&mut self, n: Number) {
         if self.ones[usize::from(n)].is_none() {
             self.enter(n);
@@ -132,6 +138,7 @@
         }
     }
 
+    /// Kills member `n` without a farewell.
     pub fn kill(&mut self, n: Number) {
         let at = usize::from(n);
         let Some(gone) = self.ones[at].take() else { return };
@@ -151,13 +158,13 @@
         self.wrong = self.ones.iter().zip(&self.seen_by).map(wrong).sum();
     }
 
-    /// The part of all pairs that see each other as they are.
+    /// Share of the pairs of which the first sees the second in the right state.
     pub fn right(&self) -> f64 {
         let pairs = self.live.max(1) * u64::from(self.count - 1).max(1);
         1.0 - self.wrong as f64 / pairs as f64
     }
 
-    /// Runs until so much is right; how long that took, none where it was not in time.
+    /// Runs until the share `part` of the pairs is right. Returns the time that took, or `None` after `most`.
     pub fn right_within(&mut self, part: f64, most: Duration) -> Option<Duration> {
         let (from, end) = (self.now, self.now + most);
         let enough = |world: &World| if part < 1.0 { world.right() >= part } else { world.wrong == 0 };
@@ -170,19 +177,21 @@
         Some(self.now - from)
     }
 
+    /// Runs for `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Datagrams and bytes sent by all that live.
+    /// Datagrams and bytes sent by all living members.
     pub fn sent(&self) -> [u64; 2] {
         let each = self.ones.iter().flatten().map(|m| m.traffic());
         each.fold([0, 0], |sum, t| [sum[0] + t.sent, sum[1] + t.sent_bytes])
     }
 
-    /// How old, in seconds, what some members know of all others is, and the part of records known.
+    /// Ages, in seconds, of the records that about `viewers` members hold of the others, and the share of
+    /// records they hold.
     pub fn ages(&self, viewers: usize) -> (Vec<f32>, f64) {
         let step = usize::from(self.count).div_ceil(viewers.max(1)).max(1);
         let (mut ages, mut all) = (Vec::new(), 0);
@@ -203,7 +212,7 @@
         self.queue.push(Event { at, seq: self.seq, what });
     }
 
-    /// The next that happens until `end`; false where nothing does.
+    /// Processes the next event before `end`; false if there is none.
     fn step(&mut self, end: Duration) -> bool {
         if self.queue.peek().is_none_or(|e| e.at > end) {
             return false;
@@ -268,14 +277,14 @@
             let killed = self.killed[at].filter(|_| !lives);
             self.deaths.extend(killed.map(|at| (self.now - at).as_secs_f32()));
             let heard = !self.apart || self.region(by) == self.region(of);
-            // Of an earlier life the word is true, though it comes late.
+            // A late notice about an earlier incarnation is still true.
             self.false_deaths += u64::from(lives && heard && life == self.lives[at]);
         }
     }
 
     fn wake(&mut self, n: Number) {
         let Some(members) = &self.ones[usize::from(n)] else { return };
-        // As the shell does it: not at once again, though something is overdue.
+        // Like the shell, doesn't tick again at once even if something is overdue.
         let at = members.due().max(self.now + Duration::from_micros(500));
         if self.ticks[usize::from(n)] != at {
             self.ticks[usize::from(n)] = at;
--- a/crates/measure/src/scale/methods.rs
+++ b/crates/measure/src/scale/methods.rs
@@ -1,4 +1,5 @@
-//! One core by methods in its terms: ticks, memory of methods seen and unseen, what an RPC costs.
+//! Cost of one core by the number of methods in its config: ticks, memory of used and unused methods, CPU
+//! time of an RPC.
 
 use std::time::Duration;
 
@@ -11,13 +12,13 @@
 use super::{Error, Plan, Table};
 
 const NODES: usize = 300;
-/// Methods that RPCs ask for before all are seen.
+/// Methods that RPCs use before all are used.
 const USED: usize = 100;
 
-/// A core of so many methods that knows some nodes, with the names.
+/// Creates a core with `methods` methods and some known nodes. Returns it with the names of the methods.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn rig(methods: usize) -> Result<(Rig, Vec<String>), Error> {
     let mut rig = Rig::new(terms(methods, 0)?, 1);
     rig.begin(&nodes(NODES));
@@ -36,7 +37,7 @@
     rig.spent = Spent::default();
     rig.run(Duration::from_secs_f64(seconds), EACH, some);
     let (spent, rpc_us, unseen) = (rig.spent, rig.per_rpc_us(), memory()?);
-    // Each method once, quickly: the ticks between cost the most.
+    // Uses each method once, at a high rate, since the ticks in between cost the most.
     let rate = 2000.0;
     let span = Duration::from_secs_f64(methods as f64 / rate);
     rig.run(span, rate, |n| Ask { method: &names[n as usize % names.len()], tenant: None });
@@ -52,8 +53,10 @@
     Ok(())
 }
 
+/// Measures one core for each number of methods.
+///
 /// # Errors
-/// When a part could not be measured.
+/// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[100, 1_000, 14_000]);
     if plan.part {
--- a/crates/measure/src/scale/mod.rs
+++ b/crates/measure/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! What grows with the size of a fleet, measured on the shipped cores and modules in virtual time. A subject is
-//! one module with `pub fn run(plan: &Plan) -> Result<Vec<Table>, Error>` and a line in [`SUBJECTS`].
+//! Costs that grow with the size of a fleet, measured on the shipped cores and modules in virtual time. A
+//! subject is one module with `pub fn run(plan: &Plan) -> Result<Vec<Table>, Error>` and an entry in
+//! [`SUBJECTS`].
 //!
-//! Processor time is that of the process by its own clock; memory is what the kernel says of a process of its own
-//! for each size. Counts come from one seeded run and are the same every time.
+//! CPU time is read from the process's own clock. Memory is read from the kernel, in a separate process for
+//! each size. Counts come from one seeded run and are reproducible.
 
 pub mod bursts;
 pub mod cold;
@@ -28,9 +29,11 @@
 
 pub use table::Table;
 
+/// Any error of a measurement.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// The size that is looked at: marshals, nodes, services, methods, tenants, and RPCs a second of all.
+/// Marshals of the fleet under study. The constants below give its nodes, services, methods, tenants, RPCs
+/// per second over all marshals, and zones.
 pub const MARSHALS: usize = 3_700;
 pub const NODES: usize = 44_000;
 pub const SERVICES: usize = 2_700;
@@ -39,7 +42,7 @@
 pub const RATE: f64 = 350_000.0;
 pub const ZONES: usize = 12;
 
-/// One subject's name, what it measures, and how.
+/// A subject: its name, a description for `--help`, and the function that measures it.
 pub struct Subject {
     pub name: &'static str,
     pub about: &'static str,
@@ -49,58 +52,71 @@
 pub const SUBJECTS: &[Subject] = &[
     Subject {
         name: "nodes",
-        about: "one core with its module at 95 RPCs a second, by nodes known",
+        about: "one core with its module at 95 RPCs per second, by number of known nodes",
         run: nodes::run,
     },
-    Subject { name: "methods", about: "the same by methods in its terms", run: methods::run },
-    Subject { name: "tenants", about: "reading terms and finding a tenant, by tenants", run: tenants::run },
-    Subject { name: "services", about: "one core a service, many in one process", run: services::run },
+    Subject { name: "methods", about: "the same, by number of methods in its config", run: methods::run },
+    Subject {
+        name: "tenants",
+        about: "parsing the config and looking up a tenant, by number of tenants",
+        run: tenants::run,
+    },
+    Subject { name: "services", about: "one core per service, many in one process", run: services::run },
     Subject {
         name: "evidence",
-        about: "how long a verdict takes, alone, by zone, by all",
+        about: "time to a verdict, with counts of one marshal, a zone, all",
         run: evidence::run,
     },
     Subject {
         name: "meeting",
-        about: "who meets which service, and the connections of a node",
+        about: "which marshals serve which service, and the connections of a node",
         run: meeting::run,
     },
     Subject {
         name: "bursts",
-        about: "a zone lost, all restarted, a peak minute, regions apart",
+        about: "a zone lost, all marshals restarted, a peak minute, regions partitioned",
         run: bursts::run,
     },
-    Subject { name: "cold", about: "cold budgets and caps divided over ever more marshals", run: cold::run },
+    Subject {
+        name: "cold",
+        about: "slow-start budgets and exposure caps divided over more and more marshals",
+        run: cold::run,
+    },
     Subject {
         name: "members",
-        about: "membership: who is there, what it costs, how old it is, by members",
+        about: "membership: detection times, cost and age of records, by number of members",
         run: members::run,
     },
     Subject {
         name: "hollow",
-        about: "hollow marshals: the shipped core, what control costs each, by marshals",
+        about: "hollow (simulated) marshals: the shipped core, control cost of each, by number of marshals",
         run: hollow::run,
     },
     Subject {
         name: "real",
-        about: "real marshals as processes on loopback beside hollow ones by the same script",
+        about: "real marshals as processes on loopback compared with hollow ones by the same script",
         run: real::run,
     },
-    Subject { name: "tree", about: "larger state by tree: 16 KiB from one marshal to all", run: tree::run },
+    Subject {
+        name: "tree",
+        about: "a large state along a tree: 16 KiB from one marshal to all",
+        run: tree::run,
+    },
 ];
 
-/// How a subject is to be measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// The subject's own sizes where this is empty.
+    /// Sizes to measure; the subject's own if empty.
     pub sizes: Vec<usize>,
-    /// Runs of each size where times or memory are measured.
+    /// Runs of each size if CPU time or memory is measured.
     pub runs: usize,
-    /// This process is one run of one size, and prints what it measured as JSON.
+    /// This process performs one run of one size and prints the result as JSON.
     pub part: bool,
 }
 
 impl Plan {
+    /// The requested sizes, or the subject's own if none were requested.
     pub fn sizes_or(&self, own: &[usize]) -> Vec<usize> {
         if self.sizes.is_empty() {
             own.to_vec()
@@ -109,6 +125,7 @@
         }
     }
 
+    /// Runs of each size, at least one.
     pub fn runs(&self) -> usize {
         self.runs.max(1)
     }
@@ -123,21 +140,21 @@
 /// `ivydrift-measure scale`
 #[derive(Args)]
 pub struct Scale {
-    /// What is measured
+    /// Subject to measure
     #[arg(value_parser = names())]
     subject: String,
-    /// Sizes in place of the subject's own
+    /// Sizes to measure instead of the subject's own
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// Runs of each size where times or memory are measured
+    /// Runs of each size if CPU time or memory is measured
     #[arg(long, default_value_t = 3)]
     runs: usize,
-    /// Draws how each column grows
+    /// Draw the growth of each column as SVG
     #[arg(long)]
     svg: Option<PathBuf>,
     #[arg(long)]
     json: bool,
-    /// One run of one size, as JSON: a part of a measurement
+    /// One run of one size, as JSON: child process of a measurement
     #[arg(long, hide = true)]
     part: bool,
 }
@@ -145,9 +162,9 @@
 /// Measures one subject and prints its tables.
 ///
 /// # Errors
-/// When it could not be measured.
+/// If the measurement failed.
 pub fn scale(asked: &Scale) -> Result<(), Error> {
-    let subject = SUBJECTS.iter().find(|s| s.name == asked.subject).ok_or("no such subject")?;
+    let subject = SUBJECTS.iter().find(|s| s.name == asked.subject).ok_or("unknown subject")?;
     let plan = Plan { sizes: asked.sizes.clone(), runs: asked.runs, part: asked.part };
     let tables = (subject.run)(&plan)?;
     if asked.json {
--- a/crates/measure/src/scale/nodes.rs
+++ b/crates/measure/src/scale/nodes.rs
@@ -1,4 +1,5 @@
-//! One core by nodes known: what an RPC, the ticks and a change of the list take, and what it holds.
+//! Cost of one core by the number of known nodes: CPU time of an RPC, of the ticks and of a node list update,
+//! and memory.
 
 use std::time::Duration;
 
@@ -12,19 +13,19 @@
 use super::{Error, Plan, Table, MARSHALS, RATE};
 
 const METHODS: usize = 5;
-/// RPCs a second of one marshal.
+/// RPCs per second of one marshal.
 pub const EACH: f64 = RATE / MARSHALS as f64;
 const CHANGES: usize = 20;
 
-/// A core that knows so many nodes and has run for so long.
+/// A core that knows `known` nodes and has run for `span`.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn rig(known: usize, span: Duration) -> Result<Rig, Error> {
     let names: Vec<String> = (0..METHODS).map(method).collect();
     let mut rig = Rig::new(terms(METHODS, 0)?, 1);
     rig.begin(&nodes(known));
-    // Its first second is left out: the module learns what is usual.
+    // The first second is a warm-up in which the module learns the usual load.
     rig.run(Duration::from_secs(1), EACH, |n| ask(&names, n));
     rig.spent = Spent::default();
     rig.run(span, EACH, |n| ask(&names, n));
@@ -35,7 +36,8 @@
     Ask { method: &names[n as usize % names.len()], tenant: None }
 }
 
-/// What one change of a list costs: a node has started again. Processor time in seconds, and orders.
+/// Applies one node list update, the restart of one node. Returns the CPU time in seconds and the number of
+/// commands.
 pub fn change(rig: &mut Rig, listed: &mut [list::Listed], at: usize) -> (f64, usize) {
     rig.now += Duration::from_millis(100);
     let one = at * 7 % listed.len();
@@ -68,8 +70,10 @@
     Ok(())
 }
 
+/// Measures one core for each number of nodes.
+///
 /// # Errors
-/// When a part could not be measured.
+/// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[300, 3_000, 44_000]);
     if plan.part {
--- a/crates/measure/src/scale/real.rs
+++ b/crates/measure/src/scale/real.rs
@@ -1,5 +1,5 @@
-//! Real marshals beside hollow ones: the same program as processes on loopback, and its core in virtual time, by the same script.
-//! Side by side, with tolerances that were chosen before the first run.
+//! Compares real marshals, processes of this program on loopback, with hollow (simulated) ones, the same core
+//! in virtual time, by the same script. The tolerances were set before the first run.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,21 +21,22 @@
 pub mod process;
 
 const SIZES: [usize; 1] = [50];
-/// RPCs a second of each marshal; more where there are few, or hardly one of them meets the build on trial in its time.
+/// RPCs per second of each marshal. Small fleets get more: at the lower rate hardly any RPC would reach the
+/// build on trial in the time of the run.
 const RATE: [f64; 2] = [2.0, 20.0];
-/// Fewer than so many are played in a short form, for tests.
+/// Fleets smaller than this run a short form, for tests.
 const SHORT: usize = 20;
-/// The most processes at once.
+/// Most processes at once.
 const MOST: usize = 250;
 
-/// How far a hollow figure may lie from the real one. Chosen before the first run, and not widened after.
+/// How far a hollow figure may differ from the real one. Set before the first run and not widened since.
 #[derive(Clone, Copy, Debug)]
 enum Tolerance {
-    /// By this part, or by so much.
+    /// By this share, or by this amount.
     Within(f64, f64),
-    /// By this factor up or down, or by so much.
+    /// By this factor in either direction, or by this amount.
     Times(f64, f64),
-    /// None: a hollow marshal has no sockets.
+    /// Not checked: a hollow marshal has no sockets.
     Shown,
 }
 
@@ -60,11 +61,11 @@
     }
 }
 
-/// Stretches begin and end so long before whole seconds, at which the script changes: what happens at an edge would fall to
-/// either side of it.
+/// Phases begin and end this long before whole seconds, at which the script changes: an event on the boundary
+/// could fall on either side.
 const BEFORE: Duration = Duration::from_millis(500);
 
-/// When what is measured: settling, the stretches, and the watch over a death.
+/// Durations of the phases: settling, each measured phase, and the watch after a kill.
 struct Times {
     settle: Duration,
     stretch: Duration,
@@ -93,27 +94,27 @@
     Script { rate: rate(marshals), rpcs_from, trial, turn, zero_ms, ..Script::new(marshals, SERVICE) }
 }
 
-/// Sums at one moment.
+/// Counters of all marshals at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
-    /// Datagrams and bytes sent by marshals.
+    /// Datagrams and bytes sent by the marshals.
     sent: [u64; 2],
     asked: Asked,
     ok: u64,
     cpu: Duration,
 }
 
-/// What came of a run: two stretches, and moments since the fleet's start.
+/// Results of a run: two phases, and times since the fleet's start.
 #[derive(Debug, Default)]
 struct Seen {
     stretches: Vec<Sums>,
     starts: Vec<Duration>,
-    /// Seconds until the last found the last, and the part of pairs found.
+    /// Seconds until the last marshal saw the last other, and the share of pairs that saw each other.
     found: f64,
     pairs: f64,
-    /// Seconds from the kill until each of the others found the dead one.
+    /// Seconds from the kill until each of the others noticed it.
     deaths: Vec<f32>,
-    /// Bytes of memory of each; and of one without peers, with its processor time in the two stretches.
+    /// Bytes of memory per marshal; the same of a marshal without peers, and its CPU time in the two phases.
     memory: f64,
     alone: f64,
     alone_cpu: Vec<Duration>,
@@ -133,7 +134,7 @@
     at.windows(2).map(|pair| pair[1].since(&pair[0])).collect()
 }
 
-/// Folder of a run, gone with it.
+/// Directory of a run, removed on drop.
 struct Folder(PathBuf);
 
 impl Drop for Folder {
@@ -142,7 +143,8 @@
     }
 }
 
-/// Moments of the log as seconds since the fleet's start.
+/// Evaluates the log: seconds until the last pair saw each other, the share of such pairs, and seconds from
+/// the kill until each marshal noticed it. Times are since the fleet's start.
 fn found(saw: &[(f64, usize, usize, bool)], marshals: usize, killed: f64) -> (f64, f64, Vec<f32>) {
     let mut came: std::collections::BTreeMap<(usize, usize), f64> = Default::default();
     let mut deaths = vec![];
@@ -163,7 +165,7 @@
         (std::process::id(), || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
     let folder = Folder(std::env::temp_dir().join(format!("ivydrift-measure-{pid}-{marshals}")));
     std::fs::create_dir_all(&folder.0)?;
-    // A net of 127.0.0.0/8 for each run.
+    // Each run uses its own subnet of 127.0.0.0/8.
     let (net, own) = (64 + (pid >> 8 & 127) as u8, pid as u8);
     let own: Vec<SocketAddr> =
         (0..=marshals).map(|n| SocketAddr::from(([127, net, own, 1 + n as u8], 7100))).collect();
@@ -180,7 +182,7 @@
         all.push(Process::start(&folder.0, &format!("edge-{number}"), &text)?);
         around.clients(number, *own);
     }
-    // One more, without peers.
+    // One additional marshal without peers.
     let places = Places { listen: own[marshals], list: other, desk: other, peers: &[] };
     let alone = Process::start(&folder.0, "alone", &around.script().text(0, &places))?;
     let (mut at, mut alone_at) = (vec![], vec![]);
@@ -250,7 +252,7 @@
     Ok(seen)
 }
 
-/// Adds a row, and says whether its tolerance was kept.
+/// Adds a row that shows whether the figures lie within the tolerance.
 fn row(table: &mut Table, name: &str, (real, hollow): (f64, f64), tolerance: Tolerance) {
     let kept = match tolerance.kept(real, hollow) {
         Some(true) => "yes",
@@ -275,7 +277,7 @@
     for (stretch, name) in ["released", "on trial"].into_iter().enumerate() {
         let (a, b) = (real.stretches[stretch], hollow.stretches[stretch]);
         let each = |a: u64, b: u64| (a as f64 / n / span, b as f64 / n / span);
-        // Where a stretch holds few questions, one more or less for each marshal is no difference.
+        // One request more or less per marshal is no difference in a phase with few requests.
         let one = 1.0 / span;
         let mut put =
             |what: &str, pair, tolerance| row(&mut table, &format!("{name}: {what}"), pair, tolerance);
@@ -317,14 +319,14 @@
     Ok(table)
 }
 
-/// Real marshals beside hollow ones.
+/// Compares real with hollow marshals for each size.
 ///
 /// # Errors
-/// When processes or sockets cannot be had.
+/// If a process can't be started, a socket can't be opened, or a size is out of range.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&SIZES);
     if sizes.iter().any(|n| !(2..=MOST).contains(n)) {
-        return Err(format!("--sizes: write 2 to {MOST} processes").into());
+        return Err(format!("--sizes: between 2 and {MOST} processes are supported").into());
     }
     sizes.into_iter().map(compare).collect()
 }
--- a/crates/measure/src/scale/real/around.rs
+++ b/crates/measure/src/scale/real/around.rs
@@ -1,5 +1,6 @@
-//! What stands round real marshals: list, desk and nodes by a script, clients at a rate, and taps on the links between marshals
-//! that count datagrams. Coroutines of this process, on loopback.
+//! Environment of the real marshals: node list, rollout controller and nodes driven by a script, clients with
+//! a fixed rate, and UDP proxies on the links between marshals that count datagrams. All run as coroutines
+//! and threads of this process on loopback.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -17,12 +18,13 @@
 
 use crate::scale::hollow::script::{answer, Script, WORK};
 
-/// Questions and bytes, both ways.
+/// Requests, and bytes in both directions.
 pub type Count = [u64; 2];
 
-/// What one marshal asked, by list, desk and votes.
+/// Requests of one marshal: to the node list, to the rollout controller, and votes.
 pub type Asked = [Count; 3];
 
+/// Node list, rollout controller, nodes and clients.
 pub struct Around {
     script: Script,
     zero: Instant,
@@ -32,10 +34,10 @@
 }
 
 impl Around {
-    /// Nodes listen, and are put into the script; the fleet's time begins now.
+    /// Starts the nodes and enters their addresses into the script. The fleet's time starts now.
     ///
     /// # Errors
-    /// When no socket can be had.
+    /// If no socket can be opened.
     pub fn start(mut script: Script) -> io::Result<Arc<Around>> {
         for node in &mut script.nodes {
             let addr = listen(|socket| {
@@ -56,19 +58,22 @@
         Ok(Arc::new(Around { script, zero: Instant::now(), asked, ok, over }))
     }
 
+    /// The script that drives the environment.
     pub fn script(&self) -> &Script {
         &self.script
     }
 
+    /// Time since the fleet's start.
     pub fn now(&self) -> Duration {
         self.zero.elapsed()
     }
 
+    /// Blocks until `at`, counted from the fleet's start.
     pub fn wait_until(&self, at: Duration) {
         std::thread::sleep(at.saturating_sub(self.now()));
     }
 
-    /// Sums of what all marshals asked.
+    /// Requests of all marshals, summed.
     pub fn asked(&self) -> Asked {
         let mut sum = Asked::default();
         for one in self.asked.lock().unwrap_or_else(|e| e.into_inner()).iter() {
@@ -79,15 +84,15 @@
         sum
     }
 
-    /// Ends what waits here.
+    /// Stops the clients; a held request is answered at its next check.
     pub fn end(&self) {
         self.over.store(true, Ordering::Release);
     }
 
-    /// List and desk in one place; `counted`: what is asked there counts.
+    /// Serves node list and rollout controller on one port. `counted`: whether to count its requests.
     ///
     /// # Errors
-    /// When no socket can be had.
+    /// If no socket can be opened.
     pub fn serve(self: &Arc<Self>, counted: bool) -> io::Result<SocketAddr> {
         let around = self.clone();
         listen(move |socket| {
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Clients of one marshal, one RPC after the other at the script's rate, over one connection.
+    /// Runs the clients of one marshal: RPCs one after the other at the script's rate, over one connection.
     pub fn clients(self: &Arc<Self>, marshal: usize, at: SocketAddr) {
         let around = self.clone();
         go(move || {
@@ -160,7 +165,7 @@
     }
 }
 
-/// Reads an answer; it was ok.
+/// Reads an answer; true if its status is 200.
 fn ok(socket: &mut Socket, buf: &mut Vec<u8>) -> bool {
     let (by, mut part) = (Instant::now() + Duration::from_secs(4), [0; 4096]);
     let read = message::response(buf, 1 << 16, |buf| {
@@ -171,7 +176,7 @@
     read.is_ok_and(|(head, _)| head.status == 200)
 }
 
-/// A message, and the bytes that it took on the wire.
+/// Reads a request and its body, with the bytes that it took on the wire.
 fn read(socket: &mut Socket, buf: &mut Vec<u8>) -> Option<(ivydrift_wire::http::Request, Vec<u8>, usize)> {
     let (mut part, before) = ([0; 4096], buf.len());
     let mut came = 0;
@@ -202,7 +207,8 @@
     Ok(addr)
 }
 
-/// Sockets between marshals: each is told the tap's address for every other, and what comes there is counted and carried on.
+/// UDP proxies between the marshals: each marshal gets the proxy's address for every other one. The proxies
+/// count the datagrams and forward them.
 pub struct Taps {
     to: Vec<SocketAddr>,
     sent: Arc<[AtomicU64; 2]>,
@@ -211,8 +217,10 @@
 }
 
 impl Taps {
+    /// Starts one proxy in front of each marshal address.
+    ///
     /// # Errors
-    /// When no socket can be had.
+    /// If no socket can be opened.
     pub fn new(own: &[SocketAddr]) -> io::Result<Taps> {
         let (sent, over) =
             (Arc::new([AtomicU64::new(0), AtomicU64::new(0)]), Arc::new(AtomicBool::new(false)));
@@ -237,14 +245,14 @@
         Ok(Taps { to, sent, over, threads })
     }
 
-    /// The addresses that a marshal is told: its own as it is, the taps' for all others.
+    /// The peer addresses for a marshal's config: its own address, and the proxies' for all others.
     pub fn told(&self, number: usize, own: SocketAddr) -> Vec<SocketAddr> {
         let mut all = self.to.clone();
         all[number] = own;
         all
     }
 
-    /// Datagrams and bytes that all marshals sent.
+    /// Datagrams and bytes sent by all marshals.
     pub fn sent(&self) -> Count {
         [0, 1].map(|i| self.sent[i].load(Ordering::Relaxed))
     }
--- a/crates/measure/src/scale/real/process.rs
+++ b/crates/measure/src/scale/real/process.rs
@@ -1,4 +1,5 @@
-//! A marshal as a process: this very program, by its terms. Its log says whom it saw come and go.
+//! A marshal as a child process of this program with a config file. Its log shows which marshals it saw come
+//! and go.
 
 use std::fs::File;
 use std::io;
@@ -8,12 +9,13 @@
 
 use crate::scale::hollow::host::seen;
 
+/// A running marshal; killed on drop.
 pub struct Process {
     child: Child,
     log: PathBuf,
 }
 
-/// Processor time so far, and resident bytes.
+/// CPU time so far, and resident memory in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
     pub cpu: Duration,
@@ -21,8 +23,10 @@
 }
 
 impl Process {
+    /// Writes the config to `folder` and starts a marshal with it.
+    ///
     /// # Errors
-    /// When it cannot be started.
+    /// If the files can't be written or the process can't be started.
     pub fn start(folder: &Path, name: &str, terms: &str) -> io::Result<Process> {
         let (file, log) = (folder.join(format!("{name}.hcl")), folder.join(format!("{name}.log")));
         std::fs::write(&file, terms)?;
@@ -32,19 +36,21 @@
         Ok(Process { child, log })
     }
 
-    /// Ends this process, and no other.
+    /// Kills this process, and no other.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
+    /// Reads CPU time and memory from `/proc`.
+    ///
     /// # Errors
-    /// When the process is gone.
+    /// If the process has ended.
     pub fn sample(&self) -> io::Result<Sample> {
         let own = PathBuf::from(format!("/proc/{}", self.child.id()));
         let mut cpu = 0;
         for task in std::fs::read_dir(own.join("task"))? {
-            // A thread may end meanwhile.
+            // A thread may end while it is being read.
             let text = std::fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
             cpu += text.split_whitespace().next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
         }
@@ -54,10 +60,10 @@
         Ok(Sample { cpu: Duration::from_nanos(cpu), resident: kib * 1024.0 })
     }
 
-    /// Whom it saw come (true) or go, and at which second of the day.
+    /// The marshals that it saw come (true) or go (false), with the second of the day.
     ///
     /// # Errors
-    /// When the log cannot be read.
+    /// If the log can't be read.
     pub fn saw(&self) -> io::Result<Vec<(f64, usize, bool)>> {
         let text = std::fs::read_to_string(&self.log)?;
         let line = |line: &str| {
@@ -75,7 +81,7 @@
     }
 }
 
-/// The second of the day of `2026-12-02T04:27:45.123456Z`.
+/// Second of the day of a timestamp such as `2026-12-02T04:27:45.123456Z`.
 fn second(stamp: &str) -> Option<f64> {
     let (_, time) = stamp.split_once('T')?;
     let mut parts = time.trim_end_matches('Z').split(':').map(str::parse::<f64>);
--- a/crates/measure/src/scale/services.rs
+++ b/crates/measure/src/scale/services.rs
@@ -1,5 +1,5 @@
-//! Many cores in one process, one for each service, as far as today's core can stand for that: what each holds and
-//! what its ticks take, at rest and in use.
+//! Runs one core per service, many in one process, as far as the present core can represent that: memory of
+//! each, and CPU time of its ticks when idle and in use.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use super::{Error, Plan, Table, SERVICES};
 
 const METHODS: usize = 5;
-/// 44,000 nodes over 2,700 services.
+/// 44,000 nodes divided over 2,700 services.
 const NODES: usize = 16;
 
-/// Cores of so many services, each with its list and the desk's word.
+/// Creates `count` cores, each with its node list and the rollout controller's state.
 ///
 /// # Errors
-/// What is wrong with the terms.
+/// If the config is invalid.
 pub fn cores(count: usize) -> Result<Vec<Rig>, Error> {
     let (terms, listed) = (terms(METHODS, 0)?, nodes(NODES));
     let one = |seed| {
@@ -29,7 +29,8 @@
     Ok((0..count as u64).map(one).collect())
 }
 
-/// Runs all of them for so long, with RPCs spread evenly over them.
+/// Runs all cores for `span` with `rate` RPCs per second spread evenly over them. Returns the sum of their
+/// counters.
 pub fn pass(cores: &mut [Rig], span: Duration, rate: f64, names: &[String]) -> Spent {
     let each = rate / cores.len() as f64;
     let mut all = Spent::default();
@@ -68,8 +69,10 @@
     Ok(())
 }
 
+/// Measures the cores for each number of services.
+///
 /// # Errors
-/// When a part could not be measured.
+/// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[50, 500, SERVICES]);
     if plan.part {
--- a/crates/measure/src/scale/table.rs
+++ b/crates/measure/src/scale/table.rs
@@ -1,4 +1,4 @@
-//! Results as plain tables, as JSON and as a drawing.
+//! Prints results as plain tables, JSON or SVG charts.
 
 use std::error::Error;
 use std::fmt;
@@ -7,30 +7,34 @@
 use plotters::prelude::*;
 use serde_json::{json, Value};
 
-/// Rows of text under a head, printed aligned; numbers to the right.
+/// Rows of text under a head, printed aligned with numbers right-aligned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     pub title: String,
     pub head: Vec<String>,
     pub rows: Vec<Vec<String>>,
-    /// Sentences below the table: what was assumed, what was not run.
+    /// Notes below the table: assumptions, and what was not run.
     pub notes: Vec<String>,
 }
 
 impl Table {
+    /// An empty table.
     pub fn new(title: impl Into<String>, head: &[&str]) -> Table {
         let head = head.iter().map(|h| (*h).to_owned()).collect();
         Table { title: title.into(), head, rows: Vec::new(), notes: Vec::new() }
     }
 
+    /// Adds a row.
     pub fn row<T: Into<String>>(&mut self, cells: impl IntoIterator<Item = T>) {
         self.rows.push(cells.into_iter().map(Into::into).collect());
     }
 
+    /// Adds a note.
     pub fn note(&mut self, text: impl Into<String>) {
         self.notes.push(text.into());
     }
 
+    /// The table as JSON.
     pub fn json(&self) -> Value {
         json!({ "title": self.title, "head": self.head, "rows": self.rows, "notes": self.notes })
     }
@@ -62,13 +66,13 @@
     }
 }
 
-/// The number that a cell begins with; thousands may have commas.
+/// The number at the start of a cell; it may have thousands separators.
 fn number(cell: &str) -> Option<f64> {
     let word = cell.split_whitespace().next()?.trim_end_matches('%').replace(',', "");
     word.parse().ok().filter(|n: &f64| n.is_finite())
 }
 
-/// A whole number with commas.
+/// Rounds to an integer with thousands separators.
 pub fn whole(n: f64) -> String {
     let digits = format!("{:.0}", n.abs());
     let groups = digits.as_bytes().rchunks(3).rev().map(|g| String::from_utf8_lossy(g).into_owned());
@@ -76,7 +80,7 @@
     format!("{sign}{}", groups.collect::<Vec<_>>().join(","))
 }
 
-/// Three digits that count.
+/// Formats three significant digits.
 pub fn short(n: f64) -> String {
     match n.abs() {
         x if x >= 1000.0 => whole(n),
@@ -87,7 +91,7 @@
     }
 }
 
-/// The middle of several runs, with the least and the most.
+/// The median of several runs, with minimum and maximum.
 pub fn spread(values: &[f64]) -> String {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -110,16 +114,16 @@
     RGBColor(90, 90, 90),
 ];
 
-/// Draws how each column of numbers grows with the first, both against their first row, on logarithmic scales: a
-/// slope of one is a line from corner to corner. Tables whose first column holds no growing numbers are left out.
+/// Draws each numeric column against the first, both relative to their first row, on logarithmic scales:
+/// linear growth is the diagonal. Tables whose first column doesn't hold increasing numbers are left out.
 ///
 /// # Errors
-/// When the file cannot be written.
+/// If the file can't be written.
 pub fn draw(file: &Path, tables: &[Table]) -> Result<(), Box<dyn Error + Send + Sync>> {
     panels(file, tables).map_err(|e| e.to_string().into())
 }
 
-/// One column's name and its points.
+/// The name of a column and its points.
 type Line = (String, Vec<(f64, f64)>);
 
 fn lines(table: &Table) -> Vec<Line> {
--- a/crates/measure/src/scale/tenants.rs
+++ b/crates/measure/src/scale/tenants.rs
@@ -1,4 +1,4 @@
-//! Terms by tenants in them: reading, memory, and what finding one costs an RPC.
+//! Config with many tenants: parse time, memory, and the cost of the tenant lookup in an RPC.
 
 use std::time::Duration;
 
@@ -46,8 +46,10 @@
     Ok(())
 }
 
+/// Measures the config for each number of tenants.
+///
 /// # Errors
-/// When a part could not be measured.
+/// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[1_500, 15_000, 150_000]);
     if plan.part {
--- a/crates/measure/src/scale/tree.rs
+++ b/crates/measure/src/scale/tree.rs
@@ -1,4 +1,5 @@
-//! Larger state by tree, by marshals: how long 16 KiB take to all, and what each sends for it.
+//! Distributes a large state along the tree, by the number of marshals: time until all have 16 KiB, and the
+//! traffic of each marshal.
 
 use std::time::Duration;
 
@@ -14,11 +15,13 @@
 pub mod world;
 
 const SIZES: [usize; 3] = [300, 1000, 3700];
-/// A start file's size, and parts of datagrams lost.
+/// Size of the state in bytes, as large as a start file.
 pub const STATE: usize = 16_384;
+/// Shares of the datagrams that are lost.
 const LOSSES: [f64; 2] = [0.0, 0.05];
 const PATIENCE: Duration = Duration::from_secs(120);
 
+/// A random state of [`STATE`] bytes.
 pub fn state(seed: u64) -> Vec<u8> {
     let mut rng = StdRng::seed_from_u64(seed);
     (0..STATE).map(|_| rng.random()).collect()
@@ -38,10 +41,10 @@
             "bytes": bytes, "most": most(|s| s.bytes), "cpu_ms": cpu })
 }
 
-/// Larger state by marshals.
+/// Measures the distribution for each number of marshals.
 ///
 /// # Errors
-/// When a size is not one of marshals.
+/// If a size exceeds the largest marshal number.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let head = [
         "marshals",
@@ -58,8 +61,8 @@
         let mut table =
             Table::new(format!("16 KiB from one to all along the tree, {} of datagrams lost", loss), &head);
         for size in plan.sizes_or(&SIZES) {
-            let count = u16::try_from(size).map_err(|_| "--sizes: write at most 65,535 marshals")?;
-            // One run of the largest is enough of processor time.
+            let count = u16::try_from(size).map_err(|_| "--sizes: at most 65,535 marshals are supported")?;
+            // CPU time needs only one run of the largest sizes.
             let runs = if size > 1000 { 1 } else { plan.runs() };
             let all: Vec<_> = (1..=runs as u64).map(|seed| course(count, loss, seed)).collect();
             let cell = |name: &str| {
--- a/crates/measure/src/scale/tree/world.rs
+++ b/crates/measure/src/scale/tree/world.rs
@@ -1,4 +1,5 @@
-//! One state from its owner to all marshals along the tree of `ivydrift_commons::large`, in virtual time.
+//! Simulates, in virtual time, the distribution of one state from its owner to all marshals along the tree of
+//! `ivydrift_commons::large`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,19 +11,20 @@
 
 const KEY: Key = Key { owner: 0, id: 9 };
 const BEAT: Duration = Duration::from_millis(50);
-/// Head of a datagram between marshals.
+/// Header bytes of a datagram between marshals.
 const HEAD: u64 = 5;
 
-/// What one marshal sent.
+/// Traffic sent by one marshal.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
     pub pieces: u64,
     pub bytes: u64,
-    /// Pieces in its busiest second, and in the one that runs.
+    /// Most pieces sent within one second; `second` holds the current second and its count.
     pub most: u64,
     second: (u64, u64),
 }
 
+/// A simulated fleet of marshals.
 pub struct World {
     pub now: Duration,
     pub sent: Vec<Sent>,
@@ -34,6 +36,7 @@
 }
 
 impl World {
+    /// Creates `count` marshals whose links lose the share `loss` of the datagrams.
     pub fn new(count: u16, loss: f64, seed: u64) -> World {
         World {
             now: Duration::ZERO,
@@ -46,7 +49,7 @@
         }
     }
 
-    /// The owner has a new state, and all others have heard of it.
+    /// Publishes a new state at its owner and announces it to all others.
     pub fn offer(&mut self, version: u32, bytes: &[u8]) {
         let notice = self.all[0].offer(self.now, KEY.id, version, bytes);
         for states in self.all.iter_mut().skip(1) {
@@ -54,7 +57,7 @@
         }
     }
 
-    /// How many have it whole.
+    /// Number of marshals that have the complete state.
     pub fn have(&self, version: u32) -> usize {
         self.all.iter().filter(|s| s.get(KEY).is_some_and(|(v, _)| v == version)).count()
     }
@@ -74,7 +77,7 @@
         }
     }
 
-    /// One beat of all marshals, and what arrives until then.
+    /// Advances by one tick: delivers the datagrams due by then, then ticks all marshals.
     pub fn step(&mut self) {
         self.now += BEAT;
         while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= self.now) {
@@ -91,7 +94,8 @@
         }
     }
 
-    /// Runs until so many have it; seconds since the start, none where that took too long.
+    /// Runs until `many` marshals have the state. Returns the seconds since the start, or `None` if `most`
+    /// passed first.
     pub fn until(&mut self, version: u32, many: usize, most: Duration) -> Option<f64> {
         while self.have(version) < many {
             if self.now >= most {
--- a/crates/measure/src/subjects.rs
+++ b/crates/measure/src/subjects.rs
@@ -1,4 +1,4 @@
-//! What is measured, each in a process of its own with one working thread.
+//! The measured subjects. Each runs in its own process with one worker thread.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,7 +20,10 @@
 
 use crate::node::{announce, listen, message};
 
-/// The marshal itself.
+/// Runs a marshal with one worker.
+///
+/// # Errors
+/// If the config is invalid or the marshal can't start.
 pub fn edge(towards: SocketAddr, listen: SocketAddr) -> io::Result<()> {
     let text = ivydrift_terms::EXAMPLE
         .replace("127.0.0.1:7100", &listen.to_string())
@@ -36,7 +39,11 @@
     announce(&[running.listens])
 }
 
-/// Forwards to nodes in turn and decides nothing: what the runtime and the framing cost alone.
+/// Forwards to the nodes round-robin without any routing decision: the cost of the runtime and HTTP framing
+/// alone.
+///
+/// # Errors
+/// If no socket can be bound.
 pub fn relay(nodes: Vec<SocketAddr>) -> io::Result<()> {
     prepare(1);
     let (turn, idle) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::<Vec<Socket>>::new())));
@@ -91,7 +98,10 @@
     announce(&[addr])
 }
 
-/// The same on hyper with its own client pool.
+/// Does the same as [`relay`] on hyper with hyper's client pool.
+///
+/// # Errors
+/// If no socket can be bound.
 pub fn hyper(nodes: Vec<SocketAddr>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async move {
--- a/crates/measure/tests/capacity/main.rs
+++ b/crates/measure/tests/capacity/main.rs
@@ -1,4 +1,5 @@
-//! docs/CAPACITY.md keeps its promise: no figure without its command, sums that add up, sizes as the program writes them.
+//! Checks docs/CAPACITY.md: each figure names its command, sums add up, and message sizes are those that the
+//! program writes.
 
 mod page;
 mod sizes;
--- a/crates/measure/tests/capacity/page.rs
+++ b/crates/measure/tests/capacity/page.rs
@@ -1,11 +1,11 @@
-//! The page as text: blocks, the keys in them, and the list of commands at its end.
+//! The page as text: its blocks, the command keys in them, and the list of commands at its end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const PAGE: &str = include_str!("../../../../docs/CAPACITY.md");
 const COMMANDS: &str = "\n## Commands\n";
 
-/// A row of a table, an item of a list or a paragraph, outside of headings.
+/// Table rows, list items and paragraphs outside of headings.
 pub fn blocks(text: &str) -> Vec<String> {
     let mut blocks: Vec<String> = Vec::new();
     let mut open = false;
@@ -23,7 +23,7 @@
     blocks
 }
 
-/// The words in square brackets, links left out.
+/// The words in square brackets, except links.
 fn keys(block: &str) -> BTreeSet<&str> {
     let open = block.match_indices('[').map(|(at, _)| &block[at + 1..]);
     open.filter_map(|rest| {
@@ -38,7 +38,7 @@
     PAGE.split_once(COMMANDS).expect("docs/CAPACITY.md ends with a section `## Commands`")
 }
 
-/// Key and command.
+/// The commands by key.
 pub fn commands(text: &str) -> BTreeMap<&str, &str> {
     let rows = text.lines().filter(|line| line.starts_with("| [")).map(|line| {
         let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
@@ -51,7 +51,7 @@
     all
 }
 
-/// What is wrong with a page, block by block.
+/// The errors of a page, block by block.
 fn complaints(body: &str, known: &BTreeMap<&str, &str>) -> Vec<String> {
     let (mut wrong, mut used) = (Vec::new(), BTreeSet::new());
     for block in blocks(body) {
--- a/crates/measure/tests/capacity/sizes.rs
+++ b/crates/measure/tests/capacity/sizes.rs
@@ -1,5 +1,5 @@
-//! Bytes of the messages that the page reckons with, written by the shipped code:
-//! `cargo test -p ivydrift-measure --test capacity -- --nocapture sizes`.
+//! Sizes of the messages that the page's calculations use, as the shipped code writes them: `cargo test -p
+//! ivydrift-measure --test capacity -- --nocapture sizes`.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     list::write(&(0..count).map(node).collect::<Vec<_>>()).len()
 }
 
-/// As `edge::query` writes it.
+/// The size of a request as `edge::query` writes it.
 fn question(path: &str) -> usize {
     HeadWriter::request("GET", path)
         .field("host", "10.0.0.1:7001")
@@ -46,7 +46,7 @@
         .len()
 }
 
-/// What is seen of `seen` zones by 308 marshals, of 12.
+/// What 308 marshals see of `seen` of 12 zones.
 fn sights(seen: usize) -> Vec<Sights> {
     let one = |zone: usize| {
         let there = zone < seen;
@@ -147,7 +147,7 @@
     assert!(missing.is_empty(), "docs/CAPACITY.md says otherwise; as written now:\n{missing:#?}");
 }
 
-/// 44000 as 44,000.
+/// Formats 44000 as 44,000.
 fn grouped(n: usize) -> String {
     let digits = n.to_string();
     let parts: Vec<&str> =
--- a/crates/measure/tests/capacity/sums.rs
+++ b/crates/measure/tests/capacity/sums.rs
@@ -1,8 +1,8 @@
-//! Sums on the page, as `3,700 x 22 / 1,000 = 81.4` between backticks, add up.
+//! Checks that the sums on the page between backticks, such as `3,700 x 22 / 1,000 = 81.4`, add up.
 
 use crate::page::PAGE;
 
-/// Numbers, ^, x, /, + and - and round brackets, ^ first, then x and /.
+/// Parser of numbers, ^, x, /, + and - and parentheses; ^ binds strongest, then x and /.
 struct Sum<'a>(std::iter::Peekable<std::str::Chars<'a>>);
 
 impl Sum<'_> {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The value of a sum; none where it is none.
+/// The value of an expression; `None` if it isn't one.
 fn value(text: &str) -> Option<f64> {
     let mut sum = Sum(text.chars().peekable());
     let value = sum.sum()?;
@@ -59,7 +59,7 @@
     sum.0.next().is_none().then_some(value)
 }
 
-/// Whether both sides are alike to a hundredth; none where this is no sum.
+/// Whether both sides agree within 1 %; `None` if the text is no equation.
 fn adds_up(text: &str) -> Option<bool> {
     let (left, right) = text.split_once(" = ")?;
     let (left, right) = (value(left)?, value(right)?);
--- a/crates/measure/tests/real.rs
+++ b/crates/measure/tests/real.rs
@@ -1,4 +1,5 @@
-//! Six real marshals beside six hollow ones: datagrams, questions and finding lie within the tolerances.
+//! Tests that six real and six hollow marshals agree: datagrams, requests and detection times are within the
+//! tolerances.
 
 use std::process::Command;
 
