--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -4,15 +4,15 @@
 #![forbid(unsafe_code)]
 
 mod apps;
+mod child;
 mod client;
 mod compare;
 mod load;
 mod node;
-mod part;
 mod plot;
 mod restart;
 mod subjects;
-mod sum;
+mod summary;
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/measure/src/scale/nodes.rs
+++ b/crates/measure/src/scale/nodes.rs
@@ -7,64 +7,64 @@
 use ivydrift_wire::list;
 use serde_json::json;
 
-use super::core::{method, nodes, terms, Ask, Rig, Spent};
-use super::part::{cpu, memory, runs};
+use super::core_harness::{config, method_name, node_list, CoreHarness, RpcSpec, Usage};
+use super::subprocess::{cpu, memory, runs};
 use super::table::{short, whole};
-use super::{Error, Plan, Table, MARSHALS, RATE};
+use super::{Error, Plan, Table, MARSHAL_COUNT, TOTAL_RATE};
 
 const METHODS: usize = 5;
 /// RPCs per second of one marshal.
-pub const EACH: f64 = RATE / MARSHALS as f64;
+pub const RATE_PER_MARSHAL: f64 = TOTAL_RATE / MARSHAL_COUNT as f64;
 const CHANGES: usize = 20;
 
 /// A core that knows `known` nodes and has run for `span`.
 ///
 /// # Errors
 /// If the config is invalid.
-pub fn rig(known: usize, span: Duration) -> Result<Rig, Error> {
-    let names: Vec<String> = (0..METHODS).map(method).collect();
-    let mut rig = Rig::new(terms(METHODS, 0)?, 1);
-    rig.begin(&nodes(known));
+pub fn harness(known: usize, span: Duration) -> Result<CoreHarness, Error> {
+    let names: Vec<String> = (0..METHODS).map(method_name).collect();
+    let mut harness = CoreHarness::new(config(METHODS, 0)?, 1);
+    harness.initialize(&node_list(known));
     // The first second is a warm-up in which the module learns the usual load.
-    rig.run(Duration::from_secs(1), EACH, |n| ask(&names, n));
-    rig.spent = Spent::default();
-    rig.run(span, EACH, |n| ask(&names, n));
-    Ok(rig)
+    harness.run(Duration::from_secs(1), RATE_PER_MARSHAL, |n| next_rpc(&names, n));
+    harness.usage = Usage::default();
+    harness.run(span, RATE_PER_MARSHAL, |n| next_rpc(&names, n));
+    Ok(harness)
 }
 
-fn ask(names: &[String], n: u64) -> Ask<'_> {
-    Ask { method: &names[n as usize % names.len()], tenant: None }
+fn next_rpc(names: &[String], n: u64) -> RpcSpec<'_> {
+    RpcSpec { method: &names[n as usize % names.len()], tenant: None }
 }
 
 /// Applies one node list update, the restart of one node. Returns the CPU time in seconds and the number of
 /// commands.
-pub fn change(rig: &mut Rig, listed: &mut [list::Listed], at: usize) -> (f64, usize) {
-    rig.now += Duration::from_millis(100);
-    let one = at * 7 % listed.len();
-    listed[one].started_ms = listed[one].started_ms.map(|ms| ms + 1000);
-    rig.tell(Input::Membership(listed))
+pub fn apply_update(harness: &mut CoreHarness, listed: &mut [list::Listed], at: usize) -> (f64, usize) {
+    harness.now += Duration::from_millis(100);
+    let index = at * 7 % listed.len();
+    listed[index].started_ms = listed[index].started_ms.map(|ms| ms + 1000);
+    harness.handle(Input::Membership(listed))
 }
 
-fn part(known: usize) -> Result<(), Error> {
+fn run_child(known: usize) -> Result<(), Error> {
     let span = Duration::from_secs(20);
     let before = memory()?;
-    let mut rig = rig(known, span)?;
-    let held = memory()?;
-    let mut listed = nodes(known);
-    let mut changes: Vec<f64> = (0..CHANGES).map(|n| change(&mut rig, &mut listed, n).0).collect();
-    changes.sort_by(f64::total_cmp);
+    let mut harness = harness(known, span)?;
+    let after = memory()?;
+    let mut listed = node_list(known);
+    let mut update_s: Vec<f64> = (0..CHANGES).map(|n| apply_update(&mut harness, &mut listed, n).0).collect();
+    update_s.sort_by(f64::total_cmp);
     let bytes = list::write(&listed);
     let from = cpu();
-    let read = list::read(&bytes);
+    let parsed = list::read(&bytes);
     let read_s = (cpu() - from).as_secs_f64();
-    let (spent, seconds) = (rig.spent, span.as_secs_f64());
+    let (usage, seconds) = (harness.usage, span.as_secs_f64());
     println!(
         "{}",
         json!({
-            "rpc_us": rig.per_rpc_us(), "ticks": 100.0 * spent.tick_cpu / seconds,
-            "ticks_s": spent.ticks as f64 / seconds, "change_ms": changes[CHANGES / 2] * 1000.0,
-            "mib": (held.now - before.now) / 1048576.0, "process_mib": held.now / 1048576.0,
-            "list_bytes": bytes.len(), "read_ms": read_s * 1000.0, "refused": read.err().unwrap_or_default(),
+            "rpc_us": harness.per_rpc_us(), "ticks": 100.0 * usage.tick_cpu / seconds,
+            "ticks_s": usage.ticks as f64 / seconds, "change_ms": update_s[CHANGES / 2] * 1000.0,
+            "mib": (after.now - before.now) / 1048576.0, "process_mib": after.now / 1048576.0,
+            "list_bytes": bytes.len(), "read_ms": read_s * 1000.0, "refused": parsed.err().unwrap_or_default(),
         })
     );
     Ok(())
@@ -76,8 +76,8 @@
 /// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[300, 3_000, 44_000]);
-    if plan.part {
-        part(sizes[0])?;
+    if plan.child {
+        run_child(sizes[0])?;
         return Ok(vec![]);
     }
     let head = [
@@ -90,8 +90,9 @@
         "list bytes",
         "read ms",
     ];
-    let title =
-        format!("One core with its module, {EACH:.0} RPCs a second, {METHODS} methods, by nodes known");
+    let title = format!(
+        "One core with its module, {RATE_PER_MARSHAL:.0} RPCs a second, {METHODS} methods, by nodes known"
+    );
     let mut table = Table::new(title, &head);
     for size in sizes {
         let runs = runs("nodes", size, plan.runs())?;
--- a/crates/measure/src/scale/tenants.rs
+++ b/crates/measure/src/scale/tenants.rs
@@ -4,41 +4,41 @@
 
 use serde_json::json;
 
-use super::core::{method, nodes, tenant, text, Ask, Rig, Spent};
-use super::part::{cpu, memory, runs};
+use super::core_harness::{config_text, method_name, node_list, tenant_name, CoreHarness, RpcSpec, Usage};
+use super::subprocess::{cpu, memory, runs};
 use super::table::whole;
 use super::{Error, Plan, Table};
 
 const METHODS: usize = 5;
 const NODES: usize = 16;
 
-fn part(tenants: usize) -> Result<(), Error> {
-    let text = text(METHODS, tenants);
+fn run_child(tenants: usize) -> Result<(), Error> {
+    let text = config_text(METHODS, tenants);
     let before = memory()?;
     let from = cpu();
-    let terms = ivydrift_terms::read("scale.hcl", &text).map_err(|e| e.to_string())?;
-    let read = (cpu() - from).as_secs_f64();
+    let config = ivydrift_terms::read("scale.hcl", &text).map_err(|e| e.to_string())?;
+    let read_s = (cpu() - from).as_secs_f64();
     let bytes = text.len();
     drop(text);
     let after = memory()?;
-    let (first, last, other) = (tenant(0), tenant(tenants - 1), "nobody-told-of".to_owned());
-    let name = method(0);
-    let mut rig = Rig::new(terms, 1);
-    rig.begin(&nodes(NODES));
+    let (first, last, unknown) = (tenant_name(0), tenant_name(tenants - 1), "nobody-told-of".to_owned());
+    let name = method_name(0);
+    let mut harness = CoreHarness::new(config, 1);
+    harness.initialize(&node_list(NODES));
     let held = memory()?;
-    let mut cost = |who: Option<&str>| {
-        rig.run(Duration::from_millis(200), 500.0, |_| Ask { method: &name, tenant: who });
-        rig.spent = Spent::default();
-        rig.run(Duration::from_secs(2), 500.0, |_| Ask { method: &name, tenant: who });
-        rig.per_rpc_us()
+    let mut rpc_cost_us = |who: Option<&str>| {
+        harness.run(Duration::from_millis(200), 500.0, |_| RpcSpec { method: &name, tenant: who });
+        harness.usage = Usage::default();
+        harness.run(Duration::from_secs(2), 500.0, |_| RpcSpec { method: &name, tenant: who });
+        harness.per_rpc_us()
     };
-    let (none, first) = (cost(None), cost(Some(&first)));
-    let (last, invented) = (cost(Some(&last)), cost(Some(&other)));
+    let (none, first) = (rpc_cost_us(None), rpc_cost_us(Some(&first)));
+    let (last, invented) = (rpc_cost_us(Some(&last)), rpc_cost_us(Some(&unknown)));
     let mib = |bytes: f64| bytes / 1048576.0;
     println!(
         "{}",
         json!({
-            "bytes": bytes, "read_s": read, "peak_mib": mib(after.peak), "kept_mib": mib(after.now),
+            "bytes": bytes, "read_s": read_s, "peak_mib": mib(after.peak), "kept_mib": mib(after.now),
             "kept": after.now - before.now, "core_mib": mib(held.now), "none": none, "first": first,
             "last": last, "invented": invented,
         })
@@ -52,8 +52,8 @@
 /// If a child process fails.
 pub fn run(plan: &Plan) -> Result<Vec<Table>, Error> {
     let sizes = plan.sizes_or(&[1_500, 15_000, 150_000]);
-    if plan.part {
-        part(sizes[0].max(1))?;
+    if plan.child {
+        run_child(sizes[0].max(1))?;
         return Ok(vec![]);
     }
     let head = [
