--- a/crates/client/src/blocking.rs
+++ b/crates/client/src/blocking.rs
@@ -1,4 +1,4 @@
-//! The shell for threads: a call blocks its caller, who carries it himself.
+//! The runtime for threads: a call blocks the calling thread, which also runs it.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 use crate::call::Error;
 use crate::channel::{self, Builder, Means};
 
-/// Several marshals as one; cheap to clone, for any number of threads.
+/// A channel for threads; cheap to clone and shared by any number of threads.
 ///
 /// ```no_run
 /// use std::time::Duration;
@@ -20,7 +20,7 @@
 ///     .build()?;
 /// match channel.call(Call::new("pickup-book", b"street=12")) {
 ///     Ok(answer) => println!("booked by build {}", answer.build),
-///     Err(why) if why.never_ran() => println!("{why}; asking again is safe"),
+///     Err(why) if why.never_ran() => println!("{why}; it is safe to call again"),
 ///     Err(why) => println!("{why}"),
 /// }
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -28,18 +28,19 @@
 pub type Channel = channel::Channel<Threads>;
 
 impl Builder {
-    /// A channel for threads.
+    /// Builds a channel for threads.
     ///
     /// # Errors
-    /// When no marshal or no method is named.
+    /// Fails if no marshal or no method was added.
     pub fn build(self) -> Result<Channel, Error> {
         self.on()
     }
 }
 
-/// Threads and sockets of the standard library.
+/// The runtime of threads and sockets of the standard library.
 pub struct Threads;
 
+/// Wakes one waiting thread.
 #[derive(Default)]
 pub struct Bell {
     rung: Mutex<bool>,
@@ -61,7 +62,7 @@
         line.clone()
     }
 
-    /// Only for connections that nobody reads.
+    /// Switches the socket to non-blocking mode for a moment, so no one else may read from it.
     fn quiet(look: &Self::Look) -> bool {
         let seen = look.set_nonblocking(true).and_then(|()| look.peek(&mut [0]));
         look.set_nonblocking(false).is_ok() && seen.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,4 +1,4 @@
-//! What a caller says and hears, whatever shell carries it.
+//! The types of a call as the application sees them, common to all runtimes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,37 +7,40 @@
 
 use crate::core::{End, Reply};
 
-/// An answer of a node, passed on by a marshal.
+/// An answer of a node, forwarded by a marshal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
+    /// HTTP status.
     pub status: u16,
     pub body: Vec<u8>,
-    /// The build that answered, and how many picks its marshal made; 0 where it did not say.
+    /// The build that answered.
     pub build: u32,
+    /// Number of picks that the marshal made. `build` and `picks` are 0 if the marshal did not report them.
     pub picks: u32,
 }
 
-/// Why there is no answer, by what the caller may do.
+/// Why a call has no answer, classified by what the caller may do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It did not run: trying later is harmless. `local`: nothing was sent, to feed no overload.
+    /// It did not run; the caller may try again later. `local`: it was not sent, because the channel throttles
+    /// calls during an overload.
     PushedBack { local: bool },
-    /// It did not run, and its time is up.
+    /// The deadline passed, and it did not run.
     NotSent,
-    /// It may have run: find out before doing it again.
+    /// It may have run: the caller must find out before calling again.
     Unknown,
-    /// A marshal gave it up; it may have run.
+    /// A marshal aborted it; it may have run.
     Aborted,
-    /// The marshal takes it for no RPC of its.
+    /// The marshal refused it as an invalid request.
     Rejected { status: u16, why: String },
-    /// Too many calls wait in this process.
+    /// Too many calls are queued in this process.
     QueueFull,
-    /// The call itself is wrong.
+    /// The call's own arguments are invalid.
     BadCall(&'static str),
 }
 
 impl Error {
-    /// Doing it again cannot make it happen twice.
+    /// Returns true if the call certainly did not run, so that calling again cannot execute it twice.
     pub fn never_ran(&self) -> bool {
         matches!(self, Error::PushedBack { .. } | Error::NotSent | Error::QueueFull | Error::BadCall(_))
     }
@@ -46,12 +49,12 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Error::PushedBack { .. } => write!(f, "pushed back: it did not run, try later"),
-            Error::NotSent => write!(f, "time is up, and it did not run"),
-            Error::Unknown => write!(f, "no answer: it may have run"),
-            Error::Aborted => write!(f, "aborted: it may have run"),
+            Error::PushedBack { .. } => write!(f, "pushed back: the call did not run, try again later"),
+            Error::NotSent => write!(f, "deadline exceeded: the call did not run"),
+            Error::Unknown => write!(f, "no answer: the call may have run"),
+            Error::Aborted => write!(f, "aborted: the call may have run"),
             Error::Rejected { status, why } => write!(f, "rejected with {status}: {why}"),
-            Error::QueueFull => write!(f, "too many calls wait in this process"),
+            Error::QueueFull => write!(f, "too many calls are queued in this process"),
             Error::BadCall(why) => write!(f, "{why}"),
         }
     }
@@ -59,7 +62,7 @@
 
 impl std::error::Error for Error {}
 
-/// One RPC to be made.
+/// An RPC to be made.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
     pub(crate) method: &'a str,
@@ -73,49 +76,53 @@
 }
 
 impl<'a> Call<'a> {
+    /// Creates a call of `method` with this body.
     pub fn new(method: &'a str, body: &'a [u8]) -> Self {
         Call { method, body, token: None, key: None, within: None, fields: Vec::new(), tag: 0, cancel: None }
     }
 
-    /// The mark by which nodes know a repeat; one for each thing done, never used for another.
+    /// Sets the idempotency token, by which nodes recognise a repeated call. Each operation needs its own
+    /// token.
     pub fn token(mut self, token: &'a str) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// The subject: calls of one key belong together.
+    /// Sets the key: the subject that the call concerns. Calls of the same key are related.
     pub fn key(mut self, key: &'a str) -> Self {
         self.key = Some(key);
         self
     }
 
-    /// All the time it may take; without it the method's.
+    /// Sets the deadline, counted from the start of the call; the default is the method's.
     pub fn within(mut self, span: Duration) -> Self {
         self.within = Some(span);
         self
     }
 
-    /// A header field for the node, as for a trace. Neither name nor value may hold a line break.
+    /// Adds a header field for the node, for example a trace id. Neither name nor value may contain a line
+    /// break.
     pub fn field(mut self, name: &'a str, value: impl Into<String>) -> Self {
         self.fields.push((name, value.into()));
         self
     }
 
-    /// A number by which an [`Observer`] knows the call.
+    /// Sets a number by which an [`Observer`] identifies the call.
     pub fn tag(mut self, tag: u64) -> Self {
         self.tag = tag;
         self
     }
 
-    /// What ends the call before its time.
+    /// Sets a handle by which the call can be cancelled.
     pub fn cancel(mut self, cancel: &'a Cancel) -> Self {
         self.cancel = Some(cancel);
         self
     }
 }
 
-/// Ends a call from elsewhere: it returns [`Error::Unknown`] if it may have run, and its connection closes, by
-/// which the marshal gives it up. For one call; clones are the same.
+/// Cancels a call from another thread or coroutine. The call returns [`Error::Unknown`] if it may have run; its
+/// connection is closed, and the marshal aborts the RPC on that. Use one for each call; clones refer to the
+/// same call.
 #[derive(Clone, Default)]
 pub struct Cancel(Arc<Mutex<State>>);
 
@@ -132,10 +139,12 @@
 }
 
 impl Cancel {
+    /// Creates a handle for one call.
     pub fn new() -> Self {
         Self::default()
     }
 
+    /// Cancels the call; has no effect once the call has ended.
     pub fn cancel(&self) {
         let tell = {
             let mut state = self.0.lock().unwrap();
@@ -147,7 +156,7 @@
         }
     }
 
-    /// What to do when it comes; at once if it came already.
+    /// Registers what to do on cancellation; runs it at once if already cancelled.
     pub(crate) fn then(&self, tell: impl FnOnce() + Send + 'static) {
         let mut state = self.0.lock().unwrap();
         if state.done {
@@ -158,37 +167,39 @@
         }
     }
 
-    /// The call has ended by itself.
+    /// Removes the registration when the call has ended.
     pub(crate) fn over(&self) {
         self.0.lock().unwrap().tell = None;
     }
 }
 
-/// How one try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Tried<'a> {
-    /// `more`: bytes came behind the answer, which answer nothing.
+    /// An answer arrived. `more`: further bytes followed it, which belong to no request.
     Answered { reply: Reply, answer: &'a Answer, more: bool },
-    /// The call's time was up.
+    /// The call's deadline passed.
     TimeUp,
-    /// The connection ended. `sent`: a byte of it was handed over.
+    /// The connection was closed or failed. `sent`: a byte of the RPC was written to it.
     Broken { sent: bool },
 }
 
-/// Sees calls and their tries, to count or trace them by whatever means the application has. It is called on the
-/// caller's own thread or coroutine, and must not wait.
+/// Receives events of calls and their attempts, for the application's metrics or traces. Its methods run on the
+/// caller's own thread or coroutine and must not block.
 pub trait Observer: Send + Sync {
-    /// A handshake begins.
+    /// A connection attempt to a marshal begins.
     fn connecting(&self, _to: SocketAddr) {}
 
-    /// A try goes out. What is returned goes with it as a header field.
+    /// An attempt is about to be sent. The returned header field is sent with it.
     fn sending(
         &self, _tag: u64, _to: SocketAddr, _left: Duration, _earlier: u32,
     ) -> Option<(&'static str, String)> {
         None
     }
 
+    /// An attempt has ended.
     fn tried(&self, _tag: u64, _how: Tried) {}
 
+    /// A call has ended, after `tries` attempts.
     fn ended(&self, _tag: u64, _method: &str, _end: End, _took: Duration, _tries: u32) {}
 }
--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -1,4 +1,4 @@
-//! A channel on any means: the core under one lock, and callers who carry their own calls.
+//! The channel, generic over its runtime: one core behind a mutex, and callers that run their own calls.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, ErrorKind};
@@ -14,42 +14,52 @@
 use crate::spoken;
 use crate::tokens::Tokens;
 
-/// The longest answer taken.
+/// Longest accepted answer.
 const ANSWER_BYTES: usize = 16 << 20;
-/// A handshake takes no longer.
+/// Timeout for establishing a connection.
 const CONNECT: Duration = Duration::from_secs(1);
-/// How often idle connections are looked at, where some are kept standing.
+/// Interval at which idle connections are checked, if the channel keeps warm connections.
 const LOOK: Duration = Duration::from_millis(200);
 
-/// What a shell brings: connections, waiting, and something that runs beside.
+/// The runtime of a channel: connections, waiting and background tasks.
 pub trait Means: Send + Sync + 'static {
-    /// A connection, its user's alone.
+    /// A connection, owned by the task that uses it.
     type Line: Send;
-    /// What others may do with it meanwhile.
+    /// A handle to a connection for other tasks: tests whether it is idle, or shuts it down.
     type Look: Clone + Send;
-    /// Wakes one caller.
+    /// Wakes one waiting caller.
     type Bell: Default + Send + Sync;
 
     /// # Errors
-    /// As the connect fails.
+    /// Fails if the connection cannot be established within the time.
     fn connect(to: SocketAddr, within: Duration) -> io::Result<Self::Line>;
+    /// Returns a handle to the connection.
     fn look(line: &Self::Line) -> Self::Look;
-    /// Nothing has come, and the far side has not closed.
+    /// Returns true if no bytes have arrived and the peer has not closed the connection.
     fn quiet(look: &Self::Look) -> bool;
+    /// Shuts the connection down.
     fn cut(look: &Self::Look);
+    /// Writes all bytes until `by`.
+    ///
     /// # Errors
-    /// As the write fails, with how many bytes were handed over.
+    /// Fails if the write fails; the error carries the number of bytes written.
     fn write(line: &mut Self::Line, bytes: &[u8], by: Instant) -> Result<(), (usize, io::Error)>;
+    /// Reads some bytes into `part` and returns their number, 0 at the end of the stream.
+    ///
     /// # Errors
-    /// As the read fails; `TimedOut` when nothing came in time.
+    /// Fails if the read fails, with `TimedOut` if nothing arrived until `by`.
     fn read(line: &mut Self::Line, part: &mut [u8], by: Instant) -> io::Result<usize>;
+    /// Wakes the caller that waits on this.
     fn ring(bell: &Self::Bell);
+    /// Waits until woken, for at most `span`.
     fn wait(bell: &Self::Bell, span: Duration);
+    /// Sleeps for `span`.
     fn pause(span: Duration);
+    /// Runs `work` in the background.
     fn beside(work: impl FnOnce() + Send + 'static);
 }
 
-/// Puts a channel together.
+/// Configures and builds a channel.
 #[derive(Clone, Default)]
 pub struct Builder {
     marshals: Vec<(SocketAddr, bool)>,
@@ -60,35 +70,37 @@
 }
 
 impl Builder {
-    /// A marshal of the caller's own zone.
+    /// Adds a marshal of the caller's own zone.
     pub fn marshal(mut self, at: SocketAddr) -> Self {
         self.marshals.push((at, true));
         self
     }
 
-    /// A marshal elsewhere, used when none near will do.
+    /// Adds a marshal of another zone, used only if no near one is available.
     pub fn far_marshal(mut self, at: SocketAddr) -> Self {
         self.marshals.push((at, false));
         self
     }
 
+    /// Declares a method, with the default deadline of its calls.
     pub fn method(mut self, name: &str, kind: Kind, within: Duration) -> Self {
         self.methods.insert(name.to_owned(), (kind, within));
         self
     }
 
+    /// Sets the channel's parameters.
     pub fn manners(mut self, manners: Manners) -> Self {
         self.manners = manners;
         self
     }
 
-    /// Chance from this seed, for tests.
+    /// Seeds the random number generator, for tests.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = Some(seed);
         self
     }
 
-    /// Who hears how calls end.
+    /// Sets the observer of calls and attempts.
     pub fn observer(mut self, observer: Arc<dyn Observer>) -> Self {
         self.observer = Some(observer);
         self
@@ -96,7 +108,7 @@
 
     pub(crate) fn on<M: Means>(self) -> Result<Channel<M>, Error> {
         if self.marshals.is_empty() || self.methods.is_empty() {
-            return Err(Error::BadCall("a channel needs a marshal and a method"));
+            return Err(Error::BadCall("a channel needs at least one marshal and one method"));
         }
         let near: Vec<bool> = self.marshals.iter().map(|m| m.1).collect();
         let (seed, warm) = (self.seed.unwrap_or_else(rand::random), self.manners.warm > 0);
@@ -114,7 +126,7 @@
             }),
         });
         if warm {
-            // It ends with the channel.
+            // The task ends when the channel is dropped.
             let keeper = Arc::downgrade(&shared);
             M::beside(move || keep(&keeper));
         }
@@ -122,8 +134,8 @@
     }
 }
 
-/// Several marshals as one; cheap to clone, for any number of callers. See [`crate::blocking::Channel`] and
-/// [`crate::coroutine::Channel`].
+/// A set of marshals that are used as one; cheap to clone and shared by any number of callers. See
+/// [`crate::blocking::Channel`] and [`crate::coroutine::Channel`].
 pub struct Channel<M: Means>(Arc<Shared<M>>);
 
 impl<M: Means> Clone for Channel<M> {
@@ -140,7 +152,7 @@
     inner: Mutex<Inner<M>>,
 }
 
-/// A connection that stands; in use it is with its user.
+/// An established connection. While a call uses it, `line` is with that caller.
 struct Standing<M: Means> {
     to: SocketAddr,
     look: M::Look,
@@ -151,32 +163,35 @@
     core: Core,
     marshals: Vec<SocketAddr>,
     lines: HashMap<ConnId, Standing<M>>,
-    /// What each waiting caller is to do next.
+    /// The actions for each waiting caller.
     mail: HashMap<CallId, (VecDeque<Action>, Arc<M::Bell>)>,
     tokens: Tokens,
 }
 
 impl<M: Means> Channel<M> {
+    /// Starts the configuration of a channel.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
+    /// Returns the counters since the channel was built.
     pub fn counts(&self) -> Counts {
         self.0.inner.lock().unwrap().core.counts
     }
 
-    /// Connections that stand.
+    /// Returns the number of established connections.
     pub fn connections(&self) -> usize {
         self.0.inner.lock().unwrap().lines.len()
     }
 
-    /// The marshals as they are now, each with whether it is near. Calls that are out end where they are.
+    /// Replaces the list of marshals, each with whether it is near. Calls in flight complete on the connections
+    /// that they use.
     ///
     /// # Errors
-    /// When there is none: the channel keeps those it has.
+    /// Fails if the list is empty; the channel then keeps its marshals.
     pub fn set_marshals(&self, marshals: &[(SocketAddr, bool)]) -> Result<(), Error> {
         if marshals.is_empty() {
-            return Err(Error::BadCall("a channel needs a marshal"));
+            return Err(Error::BadCall("a channel needs at least one marshal"));
         }
         let shared = &self.0;
         let mut bells = Vec::new();
@@ -198,7 +213,7 @@
                     inner.marshals[slot] = at;
                 }
             }
-            // Calls that found no marshal look again.
+            // Calls that are queued for lack of a marshal are tried again.
             let actions = inner.core.handle(shared.zero.elapsed(), Event::Tick);
             bells.extend(shared.route(inner, actions));
         }
@@ -206,30 +221,34 @@
         Ok(())
     }
 
-    /// Makes a call and waits for its end, at its deadline at the latest.
+    /// Makes a call and waits for its result, until its deadline at the latest.
     ///
     /// # Errors
-    /// See [`Error`]: it tells what did not run from what may have.
+    /// See [`Error`], which distinguishes calls that did not run from those that may have.
     pub fn call(&self, call: Call) -> Result<Answer, Error> {
         let shared = &self.0;
         let Some(&(kind, within)) = shared.methods.get(call.method) else {
-            return Err(Error::BadCall("the method was not named when the channel was built"));
+            return Err(Error::BadCall("the method was not declared when the channel was built"));
         };
         let broken = |text: &str| text.bytes().any(|b| b < b' ' && b != b'\t' || b == 0x7f);
         let texts = call.token.iter().chain(&call.key).copied();
         let fields = call.fields.iter().flat_map(|f| [f.0, &*f.1]);
         if texts.chain(fields).any(broken) {
-            return Err(Error::BadCall("token, key and fields must be single lines"));
+            return Err(Error::BadCall(
+                "token, key and fields must not contain line breaks or control characters",
+            ));
         }
         let began = shared.zero.elapsed();
         if let Kind::Tokened { window } = kind {
             let Some(token) = call.token else {
-                return Err(Error::BadCall("this method is tokened: give the call a token"));
+                return Err(Error::BadCall(
+                    "this method needs an idempotency token: set one with Call::token",
+                ));
             };
             let mut inner = shared.inner.lock().unwrap();
             if !inner.tokens.take(began, window, token, call.method, call.body) {
                 return Err(Error::BadCall(
-                    "this token was used for another call: nodes would drop this one",
+                    "this token was already used for a different call, so nodes would drop this one as a repeat",
                 ));
             }
         }
@@ -256,7 +275,7 @@
                             let how = Tried::Answered { reply, answer: &got.answer, more };
                             (Event::Answered { call: id, reply, keep }, how)
                         }
-                        // The deadline is the core's to tell.
+                        // The core decides when the deadline has passed.
                         Err((_, e)) if e.kind() == ErrorKind::TimedOut || late => {
                             (Event::Tick, Tried::TimeUp)
                         }
@@ -304,21 +323,22 @@
     }
 }
 
-/// An answer as it came.
+/// A received answer.
 struct Got {
     reply: Reply,
     answer: Answer,
-    /// Its connection may carry another call.
+    /// The connection may be used for another call.
     keep: bool,
-    /// Bytes came behind it.
+    /// Further bytes followed the answer.
     more: bool,
+    /// Span over which the marshal wants its clients to reconnect if it goes away.
     spread: Option<Duration>,
 }
 
 type Bells<M> = Vec<Arc<<M as Means>::Bell>>;
 
 impl<M: Means> Shared<M> {
-    /// Tells the core, and carries out or hands on what it orders.
+    /// Passes an event to the core, then executes its actions or hands them to the callers concerned.
     fn tell(self: &Arc<Self>, event: Event) {
         let bells = {
             let mut inner = self.inner.lock().unwrap();
@@ -328,6 +348,7 @@
         bells.iter().for_each(|bell| M::ring(bell));
     }
 
+    /// Executes actions, or queues them for their callers; returns the wake-up handles of these callers.
     fn route(self: &Arc<Self>, inner: &mut Inner<M>, actions: Vec<Action>) -> Bells<M> {
         let mut bells = Vec::new();
         for action in actions {
@@ -343,7 +364,7 @@
                         M::cut(&standing.look);
                     }
                 }
-                // Handshakes are bounded by the core, and so is what runs beside.
+                // The core limits concurrent handshakes, and so the number of background tasks.
                 Action::Connect { conn, marshal } => {
                     let (shared, to) = (self.clone(), inner.marshals[marshal]);
                     M::beside(move || {
@@ -365,7 +386,8 @@
         bells
     }
 
-    /// What this caller is to do next. Callers who wait keep the time for all.
+    /// Waits for the next action of a caller. Callers that wait also deliver timer ticks to the core for all
+    /// calls.
     fn next(self: &Arc<Self>, id: CallId, bell: &M::Bell) -> Action {
         loop {
             let (wait, bells) = {
@@ -389,8 +411,8 @@
         }
     }
 
-    /// One try on its connection. An error says whether a byte of the RPC was handed over; `seen`: the observer
-    /// heard that it goes out.
+    /// Makes one attempt on its connection. An error tells whether a byte of the RPC was written. `seen` is set
+    /// once the observer was told that the attempt is sent.
     fn exchange(
         &self, call: &Call, conn: ConnId, left: Duration, earlier: u32, until: Instant, seen: &mut bool,
     ) -> Result<Got, (bool, io::Error)> {
@@ -399,7 +421,7 @@
             inner.lines.get_mut(&conn).and_then(|standing| Some((standing.to, standing.line.take()?)))
         };
         let (to, mut line) = taken.ok_or((false, io::Error::from(ErrorKind::NotConnected)))?;
-        // A connection that ended while it rested is no loss: nothing was sent yet.
+        // If the connection was closed while idle, the call is safe to send again: nothing has been sent.
         if !M::quiet(&M::look(&line)) {
             return Err((false, ErrorKind::ConnectionReset.into()));
         }
@@ -414,7 +436,7 @@
             Ok(n > 0)
         });
         let (head, body) = read.map_err(|e| (true, e))?;
-        // Bytes beyond the answer are no answer to anything.
+        // Bytes after the answer belong to no request, so the connection is not reused.
         let more = !buf.is_empty();
         let keep = head.keep_alive && !more;
         let spread = spoken::spread(&head);
@@ -428,9 +450,9 @@
     }
 }
 
-/// Keeps connections standing while nobody calls: notices those that ended, and wakes the core when it is due.
+/// Maintains warm connections between calls: detects closed ones and delivers timer ticks to the core.
 fn keep<M: Means>(channel: &Weak<Shared<M>>) {
-    // Channels of one process do not look all at once.
+    // Spreads the checks of a process's channels over time.
     M::pause(LOOK.mul_f64(rand::random::<f64>()));
     loop {
         let Some(shared) = channel.upgrade() else { return };
--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -1,8 +1,8 @@
-//! What a client decides, without I/O: which marshal, when to connect, when to send again, when to stop.
-//! `Core::handle(now, event) -> actions`; a shell owns sockets and bytes.
+//! The client's decisions, without I/O: which marshal to use, when to connect, when to retry and when to give
+//! up. The interface is `Core::handle(now, event) -> actions`; the runtime owns sockets and bytes.
 //!
-//! Three laws hold whatever comes: a call ends once, at its deadline at the latest; a non-idempotent call is sent
-//! again only if no earlier try can have run; no more repeats are sent than the budget earned.
+//! Three invariants always hold: a call ends exactly once, at its deadline at the latest; a non-idempotent call
+//! is sent again only if no earlier attempt can have run; the number of retries never exceeds the retry budget.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,44 +10,50 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+/// Identifies a call; chosen by the runtime.
 pub type CallId = u64;
+/// Identifies a connection; chosen by the core.
 pub type ConnId = u64;
 
-/// Whether a method's RPCs may run again.
+/// Whether the RPCs of a method may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Idempotent,
-    /// The nodes drop a repeat of the same token for this long after the first try was sent.
+    /// Nodes drop a repeat of the same token for this time, counted from when the first attempt was sent.
     Tokened {
         window: Duration,
     },
     NonIdempotent,
 }
 
-/// Figures of a channel. The defaults suit an app with a few calls a second.
+/// Parameters of a channel. The defaults suit an application with a few calls per second.
 #[derive(Clone, Debug)]
 pub struct Manners {
-    /// Calls that wait for a connection; one more is refused at once.
+    /// Maximum number of calls queued for a connection; further calls are refused at once.
     pub queue: usize,
-    /// Connections kept standing while nobody calls, so that a call needs no handshake.
+    /// Number of connections kept established between calls, so that a call needs no handshake.
     pub warm: usize,
-    /// Connections to one marshal, and handshakes in flight to all.
+    /// Maximum number of connections to one marshal.
     pub connections: usize,
+    /// Maximum number of concurrent handshakes, to all marshals together.
     pub handshakes: usize,
-    /// Repeats earned by each call, and the most in store.
+    /// Retry budget: retries earned by each call.
     pub earned: f64,
+    /// Maximum of the retry budget, which is also its initial value.
     pub store: f64,
-    /// Waits before a repeat: a random part of this, doubled with each try up to the second figure.
+    /// Backoff before a retry, as base and maximum: a random part of a span that starts at the base and doubles
+    /// with each attempt.
     pub wait: [Duration; 2],
-    /// The same between connects to a marshal that refused or broke off.
+    /// The same for connections to a marshal that refused or closed one.
     pub reconnect: [Duration; 2],
-    /// A marshal is left out for this long after so many failures in a row; half of them never are.
+    /// Outlier ejection: after this many consecutive failures a marshal is not used for this time. At most half
+    /// of the marshals are ejected at once.
     pub eject: (u32, Duration),
-    /// A connection that rested longer is not for calls that must not run twice.
+    /// Connections that have been idle for longer than this are not used for non-idempotent calls.
     pub fresh: Duration,
-    /// Calls are held back by chance once more than this multiple of those that got through is asked.
+    /// Calls are throttled at random once attempts exceed this multiple of the accepted ones.
     pub throttle: f64,
-    /// The least time in which an answer can come: nothing is sent with less left.
+    /// Shortest time in which an answer can arrive; nothing is sent with less time left.
     pub least: Duration,
 }
 
@@ -71,49 +77,31 @@
     }
 }
 
-/// What a shell saw.
+/// An input of the core, reported by the runtime.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A caller wants an answer within this time.
-    Call {
-        call: CallId,
-        kind: Kind,
-        within: Duration,
-    },
-    Connected {
-        conn: ConnId,
-    },
-    ConnectFailed {
-        conn: ConnId,
-    },
-    /// An idle connection ended; `draining`: the marshal said so before.
-    Closed {
-        conn: ConnId,
-        draining: bool,
-    },
-    /// An answer came whole. `keep`: the connection may carry another call.
-    Answered {
-        call: CallId,
-        reply: Reply,
-        keep: bool,
-    },
-    /// The marshal of this call's try says over how long its clients should come back if it goes.
-    Spread {
-        call: CallId,
-        span: Duration,
-    },
-    /// The try's connection ended without one. `sent`: a byte of the RPC was handed to it.
-    Lost {
-        call: CallId,
-        sent: bool,
-    },
-    /// The caller wants it no more.
-    Cancelled {
-        call: CallId,
-    },
+    /// A caller makes a call, with this much time until its deadline.
+    Call { call: CallId, kind: Kind, within: Duration },
+    /// A connection was established.
+    Connected { conn: ConnId },
+    /// A connection could not be established.
+    ConnectFailed { conn: ConnId },
+    /// An idle connection was closed. `draining`: the marshal had announced it.
+    Closed { conn: ConnId, draining: bool },
+    /// A complete answer arrived. `keep`: the connection may be used for another call.
+    Answered { call: CallId, reply: Reply, keep: bool },
+    /// The marshal that handles this call's attempt asks its clients to spread their reconnects over this span
+    /// if it goes away.
+    Spread { call: CallId, span: Duration },
+    /// The connection failed before an answer arrived. `sent`: a byte of the RPC was written to it.
+    Lost { call: CallId, sent: bool },
+    /// The caller cancelled the call.
+    Cancelled { call: CallId },
+    /// Time has passed; see [`Core::due`].
     Tick,
 }
 
+/// A marshal's answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
     Ok,
@@ -121,7 +109,7 @@
         retry_after: Duration,
     },
     Aborted,
-    /// The marshal says that this is no RPC of its.
+    /// The marshal refused the request as invalid.
     Rejected,
 }
 
@@ -129,44 +117,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Ok,
-    /// It did not run: trying later is harmless. `local`: it was never sent, to feed no overload.
+    /// It did not run; the caller may try again later. `local`: it was never sent, because the channel
+    /// throttles calls during an overload.
     PushedBack {
         local: bool,
     },
-    /// A marshal gave it up; it may have run.
+    /// A marshal aborted it; it may have run.
     Aborted,
-    /// Time is up, or the connection broke: it may have run.
+    /// The deadline passed or the connection failed; it may have run.
     Unknown,
-    /// Time is up, and it never ran.
+    /// The deadline passed, and it never ran.
     NotSent,
     Rejected,
-    /// Too many calls wait.
+    /// Too many calls are queued.
     QueueFull,
     Cancelled,
 }
 
+/// An output of the core, executed by the runtime.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    Connect {
-        conn: ConnId,
-        marshal: usize,
-    },
-    /// Send the call on this connection; `earlier`: tries made before, to be marked.
-    Send {
-        call: CallId,
-        conn: ConnId,
-        left: Duration,
-        earlier: u32,
-    },
-    Close {
-        conn: ConnId,
-    },
-    Finish {
-        call: CallId,
-        end: End,
-    },
+    /// Open a connection to the marshal in this slot.
+    Connect { conn: ConnId, marshal: usize },
+    /// Send the call on this connection. `earlier`: number of attempts made before, to be sent along.
+    Send { call: CallId, conn: ConnId, left: Duration, earlier: u32 },
+    /// Close this connection.
+    Close { conn: ConnId },
+    /// Return this result to the caller.
+    Finish { call: CallId, end: End },
 }
 
+/// State of a connection, with the slot of its marshal; the time is that since when it is idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Conn {
     Connecting(usize),
@@ -184,17 +165,19 @@
 
 struct Call {
     kind: Kind,
+    /// Deadline.
     until: Duration,
-    /// When its first try went out.
+    /// When the first attempt was sent.
     first: Option<Duration>,
     tries: u32,
-    /// An earlier try may have run.
+    /// An earlier attempt may have run.
     ran: bool,
-    /// Its end if it can't go on.
+    /// Result of the latest attempt: the call ends with it if it cannot be retried.
     last: Option<End>,
     stage: Stage,
 }
 
+/// Queued for a connection, waiting for a retry at this time, or in flight on this connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
     Queued,
@@ -205,47 +188,56 @@
 #[derive(Default)]
 struct Marshal {
     near: bool,
-    /// No marshal stands here any more.
+    /// The marshal was removed; the slot is free once it has no connection left.
     gone: bool,
+    /// Consecutive failures.
     failures: u32,
+    /// Ejected until this time.
     out_until: Duration,
+    /// Failed connection attempts and lost connections since a connection was last established.
     attempts: u32,
+    /// No new connection before this time.
     connect_at: Duration,
-    /// What it said of its clients' coming back.
+    /// Span over which the marshal wants its clients to reconnect if it goes away.
     spread: Duration,
 }
 
-/// Seconds over which calls asked and let through fade; and the most that are held back, so that a marshal which
-/// recovers is noticed.
+/// Time constant, in seconds, of the exponential decay of `asked` and `through`.
 const FADE: f64 = 3.0;
-/// A marshal that asks for more than this is mistaken.
+/// Upper limit of a marshal's spread; higher values are taken for a mistake.
 const LONGEST_SPREAD: Duration = Duration::from_secs(120);
+/// Highest probability with which a call is throttled. Some calls always pass, so that the recovery of a
+/// marshal is noticed.
 const MOST_HELD: f64 = 0.9;
 
+/// The state machine of a channel.
 pub struct Core {
     manners: Manners,
     marshals: Vec<Marshal>,
     conns: BTreeMap<ConnId, Conn>,
     calls: HashMap<CallId, Call>,
     queue: VecDeque<CallId>,
-    /// Times at which something is due, by call.
+    /// Deadlines and retry times, by call.
     due: BTreeSet<(Duration, CallId)>,
-    /// When a connection that no call waits for may be begun: those who lost theirs together come back apart,
-    /// wherever they go.
+    /// No warm connection is opened before this time, to any marshal: clients that lost their connections
+    /// together must not reconnect together, wherever they connect to.
     warm_at: Duration,
+    /// Retries left in the budget.
     store: f64,
-    /// Tries that have ended (with calls held back), and those that got through, both fading. What is still out
-    /// counts for neither: many calls at once are no sign of an overload.
+    /// Exponentially decayed numbers of attempts that have ended (including throttled calls) and of those that
+    /// were accepted. Attempts in flight count for neither: many concurrent calls are not a sign of overload.
     asked: f64,
     through: f64,
+    /// When the two were last decayed.
     faded: Duration,
     now: Duration,
     next_conn: ConnId,
     rng: StdRng,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
+/// Counters of a channel. `held_back`: throttled calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub calls: u64,
@@ -256,7 +248,7 @@
 }
 
 impl Core {
-    /// `near`: for each marshal, whether it is in the caller's zone.
+    /// Creates the core. `near` tells for each marshal whether it is in the caller's zone.
     pub fn new(manners: Manners, near: &[bool], seed: u64) -> Self {
         let marshals = near.iter().map(|&near| Marshal { near, ..Marshal::default() }).collect();
         Core {
@@ -278,9 +270,9 @@
         }
     }
 
-    /// When [`Event::Tick`] is due next; none while nothing waits.
+    /// Returns when [`Event::Tick`] is due next; none if nothing waits for a time.
     pub fn due(&self) -> Option<Duration> {
-        // What lies in the past was looked at when it came.
+        // Times in the past were handled when they came.
         let ahead = self.marshals.iter().map(|m| m.connect_at.max(m.out_until)).filter(|&at| at > self.now);
         let next = ahead.min();
         let queued = next.filter(|_| !self.queue.is_empty());
@@ -289,12 +281,13 @@
         self.due.first().map(|d| d.0).into_iter().chain(queued).chain(warm).min()
     }
 
-    /// Whether a marshal stands in this slot.
+    /// Returns true if the slot holds a marshal.
     pub fn has_marshal(&self, slot: usize) -> bool {
         self.marshals.get(slot).is_some_and(|m| !m.gone)
     }
 
-    /// Another marshal; tells its slot, which may be one whose marshal is gone and has no connection left.
+    /// Adds a marshal and returns its slot. The slot of a removed marshal is reused once it has no connection
+    /// left.
     pub fn add_marshal(&mut self, near: bool) -> usize {
         let used = |core: &Self, slot: usize| core.conns.values().any(|c| c.marshal() == slot);
         let free = (0..self.marshals.len()).find(|&slot| self.marshals[slot].gone && !used(self, slot));
@@ -304,7 +297,7 @@
         slot
     }
 
-    /// A marshal is no more: idle connections to it close, calls that are out there end there.
+    /// Removes a marshal: idle connections to it are closed, calls in flight complete on theirs.
     pub fn remove_marshal(&mut self, now: Duration, slot: usize) -> Vec<Action> {
         let Some(marshal) = self.marshals.get_mut(slot).filter(|m| !m.gone) else { return vec![] };
         marshal.gone = true;
@@ -316,9 +309,10 @@
         out
     }
 
+    /// Handles an event and returns the actions to execute.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        // Two callers may read the clock in one order and come here in the other.
+        // Two callers may read the clock in one order and get here in the other.
         let now = now.max(self.now);
         self.now = now;
         match event {
@@ -343,7 +337,8 @@
             Event::Closed { conn, draining } => {
                 if let Some(Conn::Idle(marshal, _)) = self.conns.get(&conn).copied() {
                     self.conns.remove(&conn);
-                    // All its clients lose theirs at once: each comes back at a time of its own.
+                    // The marshal's other clients may have lost their connections at the same time, so the
+                    // reconnect is jittered.
                     self.hold_off(now, marshal);
                     if draining {
                         self.marshals[marshal].out_until = now + self.manners.eject.1;
@@ -365,11 +360,13 @@
         out
     }
 
+    /// Admits a call: throttles it, refuses it if the queue is full, or queues it.
     fn take(&mut self, now: Duration, call: CallId, kind: Kind, within: Duration, out: &mut Vec<Action>) {
         self.counts.calls += 1;
         self.fade(now);
         self.store = (self.store + self.manners.earned).min(self.manners.store);
-        // Adaptive throttling as in Google's SRE book: local refusals grow with what marshals refuse.
+        // Adaptive throttling as in Google's SRE book: the rate of local refusals grows with that of the
+        // marshals' push-backs.
         let excess = (self.asked - self.manners.throttle * (self.through + 5.0)) / (self.asked + 1.0);
         if excess > 0.0 && self.rng.random_bool(excess.min(MOST_HELD)) {
             self.counts.held_back += 1;
@@ -390,31 +387,34 @@
         }
     }
 
+    /// Applies the decay up to `now`.
     fn fade(&mut self, now: Duration) {
         let past = now.saturating_sub(self.faded).as_secs_f64();
         let part = (-past / FADE).exp();
         (self.asked, self.through, self.faded) = (self.asked * part, self.through * part, now);
     }
 
-    /// A random part of a span that doubles with each attempt: full jitter.
+    /// Returns a random part of a span that doubles with each attempt (full jitter).
     fn jitter(&mut self, [base, most]: [Duration; 2], attempts: u32) -> Duration {
         let span = base.saturating_mul(1 << attempts.min(16)).min(most);
         span.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
-    /// The marshal that a call's try is out to.
+    /// Returns the slot of the marshal that handles the call's attempt.
     fn place_of(&self, call: CallId) -> Option<usize> {
         let Stage::Out(conn) = self.calls.get(&call)?.stage else { return None };
         self.conns.get(&conn).map(Conn::marshal)
     }
 
+    /// Delays new connections to a marshal after a failed or closed connection.
     fn hold_off(&mut self, now: Duration, marshal: usize) {
         let Marshal { attempts, spread, .. } = self.marshals[marshal];
         let [base, most] = self.manners.reconnect;
         let (base, most) = (base.max(spread), most.max(spread));
         let wait = self.jitter([base, most], attempts);
         self.marshals[marshal].attempts += 1;
-        // Where there are others the lost one comes last, and what it does is no reason to wait longer for them.
+        // If other marshals are usable, this one is reconnected last, and its backoff does not delay
+        // connections to the others.
         let fine = |(m, other): (usize, &Marshal)| m != marshal && !other.gone && other.attempts == 0;
         let others = self.marshals.iter().enumerate().any(fine);
         let (first, again) = if others { (self.jitter([base, base], 0), base + wait) } else { (wait, wait) };
@@ -423,7 +423,8 @@
         marshal.connect_at = marshal.connect_at.max(now + again);
     }
 
-    /// A failure of the marshal itself. Never more than half of the marshals are left out.
+    /// Counts a failure of a marshal and ejects it if it has too many, as long as at most half of the marshals
+    /// are ejected.
     fn failed(&mut self, now: Duration, marshal: usize) {
         let (most, span) = self.manners.eject;
         self.marshals[marshal].failures += 1;
@@ -435,6 +436,7 @@
         }
     }
 
+    /// Ends the call's attempt: its connection becomes idle or is closed. Returns the marshal's slot.
     fn release(&mut self, now: Duration, call: CallId, keep: bool, out: &mut Vec<Action>) -> Option<usize> {
         let Stage::Out(conn) = self.calls.get(&call)?.stage else { return None };
         let Some(Conn::Busy(marshal, _)) = self.conns.get(&conn).copied() else { return None };
@@ -458,7 +460,7 @@
             }
             Reply::Rejected => self.finish(call, End::Rejected, out),
             Reply::PushedBack { retry_after } => {
-                // With jitter on top: those pushed back together must not come back together.
+                // Jitter is added: calls that were pushed back together must not return together.
                 let wait = retry_after.mul_f64(self.rng.random_range(1.0..1.5));
                 self.again(now, call, false, End::PushedBack { local: false }, Some(wait), out);
             }
@@ -478,7 +480,8 @@
         self.again(now, call, sent, end, None, out);
     }
 
-    /// Sends a call again if it may, can in time, and the budget allows; else ends it.
+    /// Retries a call if that is safe, possible before its deadline and within the retry budget; ends it
+    /// otherwise.
     fn again(
         &mut self, now: Duration, id: CallId, ran: bool, end: End, wait: Option<Duration>,
         out: &mut Vec<Action>,
@@ -487,7 +490,7 @@
         let wait = wait.unwrap_or_else(|| self.jitter(self.manners.wait, tries.saturating_sub(1)));
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.ran |= ran;
-        // What may have run stays so, whatever a later try says.
+        // Once an attempt may have run, the call may have run, whatever a later attempt reports.
         let end = match end {
             End::PushedBack { .. } | End::NotSent if call.ran => End::Unknown,
             end => end,
@@ -510,11 +513,12 @@
         self.due.insert((at, id));
     }
 
+    /// Ends a call. An attempt in flight loses its connection.
     fn finish(&mut self, id: CallId, end: End, out: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
         if let Stage::Out(conn) = call.stage {
             if matches!(self.conns.get(&conn), Some(Conn::Busy(_, of)) if *of == id) {
-                // Its answer must never be given to another call.
+                // A late answer must not reach another call, so the connection is closed.
                 self.conns.remove(&conn);
                 out.push(Action::Close { conn });
             }
@@ -527,6 +531,7 @@
         out.push(Action::Finish { call: id, end });
     }
 
+    /// Ends calls whose deadline has passed and queues those whose retry is due.
     fn pass_time(&mut self, now: Duration, out: &mut Vec<Action>) {
         while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, id));
@@ -547,11 +552,13 @@
         }
     }
 
+    /// Returns the number of attempts in flight at a marshal.
     fn load(&self, marshal: usize) -> usize {
         self.conns.values().filter(|c| matches!(c, Conn::Busy(m, _) if *m == marshal)).count()
     }
 
-    /// Two random choices by own load among marshals that are not left out, those of the zone first.
+    /// Chooses the less loaded of two random marshals (by this client's own attempts) among those that fit and
+    /// are not ejected; those of the own zone take precedence.
     fn choose(&mut self, now: Duration, fits: impl Fn(&Self, usize) -> bool) -> Option<usize> {
         for near in [true, false] {
             let list: Vec<usize> = (0..self.marshals.len())
@@ -570,17 +577,18 @@
         None
     }
 
+    /// Sends queued calls on idle connections, then opens connections for the rest and for the warm pool.
     fn pump(&mut self, now: Duration, out: &mut Vec<Action>) {
         let mut held = VecDeque::new();
         while let Some(id) = self.queue.pop_front() {
             let Some(call) = self.calls.get(&id) else { continue };
             let left = call.until.saturating_sub(now);
             if left <= self.manners.least {
-                // It cannot end in time: its deadline ends it, and nothing is sent.
+                // No answer can arrive in time: the call stays queued until its deadline ends it.
                 held.push_back(id);
                 continue;
             }
-            // It may have waited for a connection until the nodes no longer know its token.
+            // The nodes may have forgotten the token while the call was queued.
             if let (Kind::Tokened { window }, true, Some(first)) = (call.kind, call.ran, call.first) {
                 if now + self.manners.least >= first + window {
                     let end = call.last.unwrap_or(End::Unknown);
@@ -609,7 +617,7 @@
             }
         }
         self.queue = held;
-        // A connection for each call that waits, within the bounds.
+        // One connection for each queued call, within the limits.
         let connecting = self.conns.values().filter(|c| matches!(c, Conn::Connecting(_))).count();
         let cold = if now < self.warm_at { 0 } else { self.manners.warm.saturating_sub(self.conns.len()) };
         let wanted = self.queue.len().max(cold + connecting).min(self.manners.handshakes);
--- a/crates/client/src/coroutine.rs
+++ b/crates/client/src/coroutine.rs
@@ -1,5 +1,5 @@
-//! The shell for coroutines of `may`: a call holds its coroutine, not its thread. The runtime is prepared by
-//! whoever starts it (`ivydrift_sockets::coroutine::prepare`).
+//! The runtime for coroutines of `may`: a call blocks its coroutine, not the thread. The application prepares
+//! the `may` runtime (`ivydrift_sockets::coroutine::prepare`).
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::call::Error;
 use crate::channel::{self, Builder, Means};
 
-/// Several marshals as one; cheap to clone, for any number of coroutines.
+/// A channel for coroutines of `may`; cheap to clone and shared by any number of coroutines.
 ///
 /// ```no_run
 /// use std::time::Duration;
@@ -32,18 +32,19 @@
 pub type Channel = channel::Channel<Coroutines>;
 
 impl Builder {
-    /// A channel for coroutines of `may`.
+    /// Builds a channel for coroutines of `may`.
     ///
     /// # Errors
-    /// When no marshal or no method is named.
+    /// Fails if no marshal or no method was added.
     pub fn build_for_coroutines(self) -> Result<Channel, Error> {
         self.on()
     }
 }
 
-/// Coroutines and sockets of `may`.
+/// The runtime of coroutines and sockets of `may`.
 pub struct Coroutines;
 
+/// Wakes one waiting coroutine.
 pub struct Bell(Arc<Semphore>);
 
 impl Default for Bell {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,9 @@
-//! Calls marshals the way they want to be called: one deadline from the caller's first word to the last, repeats
-//! only where they are safe and earned, push-back honoured, reconnects spread out.
+//! Client library for calling marshals: one deadline for the whole call, retries only where they are safe and
+//! within a retry budget, compliance with push-back, and jittered reconnects.
 //!
-//! [`core::Core`] decides and has no I/O. Two shells carry it out: [`blocking::Channel`] for threads,
-//! [`coroutine::Channel`] for coroutines of `may`. `docs/client.md` says why it decides as it does.
+//! [`core::Core`] makes the decisions and does no I/O. Two runtimes execute them: [`blocking::Channel`] for
+//! threads and [`coroutine::Channel`] for coroutines of `may`. `docs/client.md` gives the reasons for its
+//! decisions.
 #![forbid(unsafe_code)]
 
 pub mod blocking;
--- a/crates/client/src/spoken.rs
+++ b/crates/client/src/spoken.rs
@@ -1,4 +1,4 @@
-//! A call as bytes, and what an answer's head says of it.
+//! Encodes calls as HTTP requests and decodes the heads of answers.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::call::{Answer, Call};
 use crate::core::Reply;
 
-/// A `Retry-After` beyond this is taken for a mistake.
+/// Upper limit of `retry-after-ms`; higher values are taken for a mistake.
 const LONGEST_WAIT_MS: u64 = 600_000;
 
-/// `earlier`: tries made before this one.
+/// Encodes a call. `earlier`: number of attempts made before this one; `more`: a further header field.
 pub fn bytes(call: &Call, left: Duration, earlier: u32, more: Option<(&str, String)>) -> Vec<u8> {
     let mut head = HeadWriter::request("POST", &format!("/{}", call.method))
         .field("host", "ivydrift")
@@ -32,11 +32,12 @@
     [&head.finish()[..], call.body].concat()
 }
 
-/// Over how long the marshal's clients should come back if it goes, where it says so.
+/// Reads the span over which the marshal wants its clients to reconnect if it goes away.
 pub fn spread(head: &Response) -> Option<Duration> {
     head.fields.get(rpc::SPREAD_MS).and_then(|ms| ms.parse().ok()).map(Duration::from_millis)
 }
 
+/// Decodes an answer. One without the marshal's answer field and with a status from 500 on counts as aborted.
 pub fn read(head: &Response, body: Vec<u8>) -> (Reply, Answer) {
     let number = |name| head.fields.get(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     let reply = match rpc::Kind::read(&head.fields) {
@@ -46,7 +47,7 @@
         },
         Some(rpc::Kind::Aborted) => Reply::Aborted,
         None if head.status < 500 => Reply::Rejected,
-        // Somebody between: it may have run.
+        // Sent by an intermediary, so the RPC may have run.
         None => Reply::Aborted,
     };
     let (build, picks) = (number(rpc::BUILD) as u32, number(rpc::PICKS) as u32);
--- a/crates/ivydrift/src/audit.rs
+++ b/crates/ivydrift/src/audit.rs
@@ -1,4 +1,4 @@
-//! `ivydrift audit`.
+//! The subcommand `ivydrift audit`.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -13,9 +13,9 @@
 
 #[derive(Args)]
 pub struct AuditCommand {
-    /// A trace, as `ivydrift day --keep` writes it
+    /// A trace written by `ivydrift day --keep`
     trace: PathBuf,
-    /// Print one JSON object
+    /// Print one JSON object instead of text
     #[arg(long)]
     json: bool,
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The longest line taken: no line that is written comes near it.
+/// Maximum length of a line. Lines of real traces are far shorter.
 const LINE_BYTES: u64 = 64 * 1024;
 
 fn audit(file: &PathBuf) -> Result<Report, String> {
@@ -60,7 +60,7 @@
         match bounded.read_line(&mut text) {
             Ok(0) => return Ok(auditor.finish()),
             Ok(_) if !text.ends_with('\n') && text.len() as u64 == LINE_BYTES => {
-                return Err(format!("line {number}: longer than any line of a trace"));
+                return Err(format!("line {number}: longer than {LINE_BYTES} bytes, so not a trace"));
             }
             Ok(_) => {}
             Err(e) => return Err(format!("line {number}: {e}")),
--- a/crates/ivydrift/src/day.rs
+++ b/crates/ivydrift/src/day.rs
@@ -1,4 +1,4 @@
-//! `ivydrift day`.
+//! The subcommands `ivydrift day` and `ivydrift bench-day`.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -13,16 +13,16 @@
 use crate::marshals::Processes;
 use crate::table::Played;
 
-/// How a day is played and shown.
+/// Options common to `day` and `bench-day`: how a day is run and how its result is printed.
 #[derive(Args)]
 struct Way {
-    /// Play in virtual time, with the marshals' core in this process
+    /// Simulate in virtual time, with the marshals' core in this process
     #[arg(long)]
     sim: bool,
     /// Print one JSON object instead of the table
     #[arg(long)]
     json: bool,
-    /// Keep trace, terms and logs in this folder
+    /// Keep the trace, the marshals' config files and their logs in this folder
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
 }
@@ -30,9 +30,9 @@
 /// A day file as the operators' bench draws it.
 #[derive(Args)]
 pub struct BenchDayCommand {
-    /// The day file (JSON), read in place
+    /// The day file (JSON); it is only read
     file: PathBuf,
-    /// Print the script that is played, and end
+    /// Print the converted script instead of running it
     #[arg(long)]
     script: bool,
     #[command(flatten)]
@@ -61,7 +61,7 @@
                 return ExitCode::from(2);
             }
         };
-        eprintln!("{name}: played at {:.2} of its size; not carried over:", carried.scale);
+        eprintln!("{name}: run at {:.2} of its size; not converted:", carried.scale);
         carried.lost.iter().for_each(|what| eprintln!("  - {what}"));
         self.way.play(day)
     }
@@ -69,12 +69,12 @@
 
 #[derive(Args)]
 pub struct DayCommand {
-    /// The day's script; without it the built-in bad day
+    /// The day's script; the built-in day of faults if omitted
     file: Option<PathBuf>,
-    /// Play the built-in short day
+    /// Run the built-in short day
     #[arg(long, conflicts_with = "file")]
     short: bool,
-    /// Another seed than the script's
+    /// Override the script's seed
     #[arg(long)]
     seed: Option<u64>,
     #[command(flatten)]
@@ -125,12 +125,13 @@
                 }
             }
             Err(what) => {
-                eprintln!("the day could not be played: {what}");
+                eprintln!("the day could not be run: {what}");
                 ExitCode::from(3)
             }
         }
     }
 
+    /// Creates the trace file, if a folder to keep it was given.
     fn trace(&self) -> std::io::Result<Option<Box<dyn Write + Send>>> {
         let Some(folder) = &self.keep else { return Ok(None) };
         std::fs::create_dir_all(folder)?;
@@ -156,7 +157,7 @@
         };
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let bar = ProgressBar::new(day.lasts.as_millis() as u64);
-        // Without a terminal indicatif draws nothing by itself.
+        // indicatif draws nothing if there is no terminal.
         let style = "{elapsed_precise} {bar:40} {msg}";
         bar.set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
         let mut processes = Processes::new(&folder, day.marshals);
@@ -165,7 +166,7 @@
             bar.set_position(at.now.as_millis() as u64);
             let s = at.standing;
             bar.set_message(format!(
-                "{} RPCs, {} in hand; build {} stage {} {:?}",
+                "{} RPCs, {} in progress; build {} stage {} {:?}",
                 at.asked, at.in_hand, s.build, s.stage, s.course
             ));
         });
--- a/crates/ivydrift/src/main.rs
+++ b/crates/ivydrift/src/main.rs
@@ -12,14 +12,15 @@
 
 use clap::{Parser, Subcommand};
 
-/// Tries new builds on live traffic: a release controller's marshal, its stand-ins and its checks.
+/// Rollouts of new builds on live traffic: the rollout controller's marshal, simulated services for it, and
+/// checks
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Examples:\n  ivydrift day                      play the built-in bad day, about a minute\n  \
-                  ivydrift day --sim --seed 9       the same in virtual time\n  \
-                  ivydrift check edge.hcl           is this file of terms right?\n  \
-                  ivydrift audit day/trace.jsonl    check a kept trace against the five rules"
+    after_help = "Examples:\n  ivydrift day                      run the built-in day of faults, about a minute\n  \
+                  ivydrift day --sim --seed 9       simulate the same in virtual time\n  \
+                  ivydrift check edge.hcl           validate a marshal's config file\n  \
+                  ivydrift audit day/trace.jsonl    check a recorded trace against the five rules"
 )]
 struct Ivydrift {
     #[command(subcommand)]
@@ -28,33 +29,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day of troubles: marshals as processes, nodes, list, desk and clients on loopback
+    /// Run a scripted day of faults: marshals as processes, with simulated nodes, node list, rollout controller
+    /// and clients, all on loopback
     ///
-    /// Exit codes: 0 every rule was kept and every RPC had one answer; 1 not so; 2 the command or the script is
-    /// wrong; 3 the day could not be played.
+    /// Exit codes: 0 every rule was kept and every RPC had one answer; 1 otherwise; 2 the command or the script
+    /// is invalid; 3 the day could not be run.
     Day(day::DayCommand),
-    /// Play a day file of the operators' bench through real marshals
+    /// Run a day file of the operators' bench with real marshals
     ///
-    /// Says what of it could not be carried over. Exit codes as for day.
+    /// Lists what could not be converted. Exit codes as for day.
     BenchDay(day::BenchDayCommand),
-    /// Check a file of terms, or a day's script, whole
+    /// Validate a marshal's config file, or a day's script
     ///
-    /// Exit codes: 0 it is right; 2 it is not, each fault on a line with file, line and column.
+    /// Exit codes: 0 valid; 2 invalid, with each error on a line with file, line and column.
     Check {
-        /// Terms of a marshal; or a day's script, with --day
+        /// Config file of a marshal; or a day's script, with --day
         file: PathBuf,
+        /// Validate the file as a day's script
         #[arg(long)]
         day: bool,
     },
     /// Check a trace against the five rules
     ///
-    /// Exit codes: 0 kept; 1 broken; 2 not a trace.
+    /// Exit codes: 0 every rule was kept; 1 a rule was broken; 2 the file is not a trace.
     Audit(audit::AuditCommand),
-    /// Show what one marshal knows of the others: who is there, and what each says of itself
+    /// Show one marshal's view of the other marshals: their state, and what each reports about itself
     ///
-    /// Exit codes: 0 shown; 1 no answer; 2 the command is wrong.
+    /// Exit codes: 0 shown; 1 no answer; 2 the command is invalid.
     Peers(peers::PeersCommand),
-    /// Run one marshal, as ivydrift-edge does
+    /// Run one marshal, like ivydrift-edge
     Edge(ivydrift_edge::command::EdgeCommand),
 }
 
@@ -84,7 +87,7 @@
     };
     match found {
         Ok(()) => {
-            println!("{name}: right");
+            println!("{name}: valid");
             ExitCode::SUCCESS
         }
         Err(complaints) => {
--- a/crates/ivydrift/src/marshals.rs
+++ b/crates/ivydrift/src/marshals.rs
@@ -1,4 +1,4 @@
-//! Marshals as processes of their own: this very program, run as `ivydrift edge`.
+//! Runs marshals as child processes: this same executable, called as `ivydrift edge`.
 
 use std::fs::File;
 use std::io;
@@ -10,6 +10,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
+/// The marshals of a day, each a child process with a config file and a log in `folder`.
 pub struct Processes {
     folder: PathBuf,
     children: Vec<Option<Child>>,
@@ -76,7 +77,7 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        // A stopped child cannot be ended but by a kill; none may outlive the day.
+        // SIGKILL also ends a process that is stopped by SIGSTOP. No marshal may outlive the day.
         (0..self.children.len()).for_each(|m| self.kill(m));
     }
 }
--- a/crates/ivydrift/src/peers.rs
+++ b/crates/ivydrift/src/peers.rs
@@ -1,4 +1,4 @@
-//! `ivydrift peers`: what one marshal knows of the others, asked by datagrams.
+//! The subcommand `ivydrift peers`: queries one marshal's view of the others over UDP.
 
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -9,16 +9,16 @@
 use ivydrift_wire::peer::{self, Kind, More, Row, View};
 use serde_json::{json, Value};
 
-/// A page unanswered for so long is asked for again.
+/// Time after which an unanswered request for a page is repeated.
 const PATIENCE: Duration = Duration::from_millis(400);
-/// So often.
+/// Number of requests for a page before giving up.
 const TRIES: usize = 4;
 
 #[derive(Args)]
 pub struct PeersCommand {
-    /// The marshal's own address among `peers` of its terms
+    /// The marshal's own address in the `peers` list of its config
     address: SocketAddr,
-    /// As JSON, for programs
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
@@ -42,7 +42,8 @@
     }
 }
 
-/// The first page's head, the rows of all pages, and what stands behind them, where the marshal says so much.
+/// Returns the head of the first page, the rows of all pages and, if the marshal sends it, the data on protocol
+/// levels and programs that follows the rows.
 fn ask(address: SocketAddr) -> io::Result<(View, Vec<Row>, Option<More>)> {
     let any: IpAddr =
         if address.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { Ipv6Addr::UNSPECIFIED.into() };
@@ -50,7 +51,7 @@
     socket.connect(address)?;
     let (head, mut more) = page(&socket, 0)?;
     let mut rows = head.rows.clone();
-    // Each page brings a row or ends it, so this ends.
+    // Terminates, since the loop ends with the first page that adds no row.
     while rows.len() < usize::from(head.of) {
         let (next, behind) = page(&socket, rows.len() as u16)?;
         if next.rows.is_empty() {
@@ -65,13 +66,15 @@
     Ok((head, rows, more))
 }
 
+/// Requests the page that starts with row `first`.
 fn page(socket: &UdpSocket, first: u16) -> io::Result<(View, Option<More>)> {
-    let silent = "no answer: is this a marshal's own address among peers, and does its terms name peers?";
+    let silent =
+        "no answer: check that this is the marshal's own address in peers, and that its config lists peers";
     let mut last = io::Error::new(ErrorKind::TimedOut, silent);
     for _ in 0..TRIES {
         let by = Instant::now() + PATIENCE;
         if let Err(e) = socket.send(&peer::question(first)) {
-            last = io::Error::new(e.kind(), format!("nobody listens there ({e})"));
+            last = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
             std::thread::sleep(PATIENCE / 4);
             continue;
         }
@@ -81,7 +84,7 @@
             let n = match socket.recv(&mut datagram) {
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
-                    last = io::Error::new(e.kind(), format!("nobody listens there ({e})"));
+                    last = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
                     std::thread::sleep(PATIENCE / 4);
                     break;
                 }
@@ -101,13 +104,14 @@
     format!("{:.1}", ms as f64 / 1000.0)
 }
 
+/// Formats the view as a table.
 fn table(view: &View, rows: &[Row], more: Option<&More>) -> String {
     let spoken = more.map_or(String::new(), |m| {
-        let apart = if m.apart { ", and one is present that speaks none of ours" } else { "" };
-        format!("; level of speech {}{apart}", m.level)
+        let apart = if m.apart { "; a marshal without a common protocol level is present" } else { "" };
+        format!("; protocol level {}{apart}", m.level)
     });
     let mut out = format!(
-        "marshal {} of {}; doubts its own links: {} of 8; sends {:.0} bytes/s to others{}\n\n\
+        "marshal {} of {}; suspicion of its own links: {} of 8; sends {:.0} bytes/s to the others{}\n\n\
          {:>7}  {:<8} {:>8} {:>9} {:>6} {:>7} {:>9} {:>6} {:>8}  {:<14} {}\n",
         view.number,
         view.of,
@@ -150,7 +154,7 @@
     out
 }
 
-/// What this row's marshal says of its speech and program.
+/// Returns the protocol level and the program that the marshal of this row reports.
 fn said(more: Option<&More>, row: usize) -> Option<&(u8, String)> {
     more?.rows.get(row)?.as_ref()
 }
--- a/crates/ivydrift/src/table.rs
+++ b/crates/ivydrift/src/table.rs
@@ -1,4 +1,5 @@
-//! What a day is shown as: a table by phase, the builds' course, and a line for each rule; or JSON.
+//! Prints the result of a day: as a table by phase, with the rollout's progress and a line for each rule, or as
+//! JSON.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -8,9 +9,10 @@
 use ivydrift_wire::desk::Course;
 use serde_json::{json, Value};
 
-/// A build's standing as the desk had it.
+/// The rollout's states over time, as the rollout controller recorded them.
 pub type Standings = Vec<(Duration, ivydrift_standin::Standing)>;
 
+/// The result of a day, or of an audit alone.
 pub struct Played {
     pub simulated: bool,
     pub report: Report,
@@ -21,7 +23,7 @@
     pub leaked: usize,
 }
 
-/// A standing in a few words.
+/// Formats a rollout state in a few words.
 fn stands(s: &ivydrift_standin::Standing) -> String {
     let word = match s.course {
         Course::OnTrial => "trial",
@@ -32,16 +34,18 @@
     format!("{}, {} {word}", s.build, s.stage)
 }
 
+/// Milliseconds, rounded to one decimal.
 fn ms(span: Duration) -> f64 {
     (span.as_secs_f64() * 10_000.0).round() / 10.0
 }
 
 impl Played {
-    /// Every rule was kept, every marshal ended clean and nothing leaked.
+    /// Returns true if every rule was kept, every marshal shut down cleanly and no connection leaked.
     pub fn fine(&self) -> bool {
         self.report.kept() && self.clean.iter().all(|&c| c) && self.leaked == 0
     }
 
+    /// Formats the result as text.
     pub fn table(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
@@ -103,7 +107,7 @@
             let clean = self.clean.iter().filter(|&&c| c).count();
             let _ = writeln!(
                 out,
-                "{clean} of {} marshals ended with nothing unfinished; {} connections leaked",
+                "{clean} of {} marshals shut down cleanly; {} connections leaked",
                 self.clean.len(),
                 self.leaked
             );
@@ -111,12 +115,12 @@
         out
     }
 
-    /// What became of all tries, a line for each rule, and the first breaches.
+    /// Formats the outcomes of all attempts, a line for each rule, and the first violations.
     pub fn rules(&self) -> String {
         let (mut out, r) = (String::new(), &self.report);
         let _ = writeln!(
             out,
-            "\n{} tries: {} ok, {} pushed back, {} aborted, {} clients left, {} lost with a marshal that was away\n",
+            "\n{} attempts: {} ok, {} pushed back, {} aborted, {} abandoned by the client, {} lost while their marshal was unavailable\n",
             r.asked, r.ok, r.pushed_back, r.aborted, r.left, r.excused
         );
         for (i, rule) in RULES.iter().enumerate() {
@@ -135,6 +139,7 @@
         out
     }
 
+    /// Formats the result as a JSON object.
     pub fn json(&self) -> Value {
         let phase = |p: &Phase| {
             json!({
--- a/crates/ivydrift/tests/known_red.rs
+++ b/crates/ivydrift/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! `.ci/known-red`, with a cargo of our own in place of the real one.
+//! Tests of the script `.ci/known-red`, with a fake cargo in place of the real one.
 
 use std::path::Path;
 use std::process::Command;
--- a/crates/ivydrift/tests/services/unheld.rs
+++ b/crates/ivydrift/tests/services/unheld.rs
@@ -1,11 +1,12 @@
-//! Nodes that change while no marshal holds their service.
+//! Nodes that change while no marshal serves their service.
 
 use ivydrift_audit::trace::{Course, Kind};
 use ivydrift_standin::services::{Ask, Plan, Reply};
 
 use crate::town::*;
 
-/// It returns as a build on trial, at its old address: connections, build and health of before are another process's.
+/// The node returns with a build on trial at its old address. Connections, build and health that a marshal
+/// remembers from before belong to another process.
 #[test]
 fn a_node_that_left_unheld_returns_as_another_build_and_is_met_as_that() {
     let plots = Plots { rest_ms: 1000, window_ms: 1000, ..Plots::new(&["cart", "relay"]) };
@@ -23,7 +24,7 @@
     town.services.stop(nodes[0]);
     town.services.stop(nodes[1]);
     town.services.again(nodes[0], Plan { build: 2, ..Plan::default() }).unwrap();
-    // Another's process takes the address of one that left.
+    // A node of another service takes over the address of a node that left.
     let at = Some(town.services.addr(nodes[1]));
     let other = town.services.start("relay", Plan { at, ..Plan::default() }).unwrap();
     town.services.stage("cart", (2, 0, Course::OnTrial, CAP));
@@ -42,7 +43,7 @@
         got.len()
     );
     assert!((0..3).all(|m| town.begun(m, "cart") == 2));
-    // What the marshals say is what the nodes are.
+    // The builds that the marshals report must be those of the nodes that ran the RPCs.
     let replies = at_once(30, |n| town.call(n % 3, &ask));
     let said = replies.iter().filter(|r| matches!(r, Reply::Answered { build: 2, .. })).count();
     let ran = town.services.got("cart").iter().skip(before + got.len()).filter(|g| g.build == 2).count();
