--- a/crates/client/src/blocking.rs
+++ b/crates/client/src/blocking.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::call::Error;
-use crate::channel::{self, Builder, Means};
+use crate::channel::{self, Builder, Runtime};
 
 /// A channel for threads; cheap to clone and shared by any number of threads.
 ///
@@ -33,7 +33,7 @@
     /// # Errors
     /// Fails if no marshal or no method was added.
     pub fn build(self) -> Result<Channel, Error> {
-        self.on()
+        self.build_on()
     }
 }
 
@@ -42,85 +42,87 @@
 
 /// Wakes one waiting thread.
 #[derive(Default)]
-pub struct Bell {
-    rung: Mutex<bool>,
-    woken: Condvar,
+pub struct Waker {
+    woken: Mutex<bool>,
+    condvar: Condvar,
 }
 
-impl Means for Threads {
-    type Line = Arc<TcpStream>;
-    type Look = Arc<TcpStream>;
-    type Bell = Bell;
+impl Runtime for Threads {
+    type Connection = Arc<TcpStream>;
+    type Handle = Arc<TcpStream>;
+    type Waker = Waker;
 
-    fn connect(to: SocketAddr, within: Duration) -> io::Result<Self::Line> {
-        let socket = TcpStream::connect_timeout(&to, within)?;
+    fn connect(addr: SocketAddr, timeout: Duration) -> io::Result<Self::Connection> {
+        let socket = TcpStream::connect_timeout(&addr, timeout)?;
         let _ = socket.set_nodelay(true);
         Ok(Arc::new(socket))
     }
 
-    fn look(line: &Self::Line) -> Self::Look {
-        line.clone()
+    fn handle(connection: &Self::Connection) -> Self::Handle {
+        connection.clone()
     }
 
     /// Switches the socket to non-blocking mode for a moment, so no one else may read from it.
-    fn quiet(look: &Self::Look) -> bool {
-        let seen = look.set_nonblocking(true).and_then(|()| look.peek(&mut [0]));
-        look.set_nonblocking(false).is_ok() && seen.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+    fn is_idle(handle: &Self::Handle) -> bool {
+        let peeked = handle.set_nonblocking(true).and_then(|()| handle.peek(&mut [0]));
+        handle.set_nonblocking(false).is_ok() && peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    fn cut(look: &Self::Look) {
-        let _ = look.shutdown(Shutdown::Both);
+    fn shutdown(handle: &Self::Handle) {
+        let _ = handle.shutdown(Shutdown::Both);
     }
 
-    fn write(line: &mut Self::Line, bytes: &[u8], by: Instant) -> Result<(), (usize, io::Error)> {
-        let mut done = 0;
-        while done < bytes.len() {
-            let left = by.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err((done, ErrorKind::TimedOut.into()));
+    fn write(
+        connection: &mut Self::Connection, bytes: &[u8], deadline: Instant,
+    ) -> Result<(), (usize, io::Error)> {
+        let mut written = 0;
+        while written < bytes.len() {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
+                return Err((written, ErrorKind::TimedOut.into()));
             }
-            line.set_write_timeout(Some(left)).map_err(|e| (done, e))?;
-            match (&**line).write(&bytes[done..]) {
-                Ok(0) => return Err((done, ErrorKind::WriteZero.into())),
-                Ok(n) => done += n,
+            connection.set_write_timeout(Some(time_left)).map_err(|e| (written, e))?;
+            match (&**connection).write(&bytes[written..]) {
+                Ok(0) => return Err((written, ErrorKind::WriteZero.into())),
+                Ok(n) => written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    return Err((done, ErrorKind::TimedOut.into()))
+                    return Err((written, ErrorKind::TimedOut.into()))
                 }
-                Err(e) => return Err((done, e)),
+                Err(e) => return Err((written, e)),
             }
         }
         Ok(())
     }
 
-    fn read(line: &mut Self::Line, part: &mut [u8], by: Instant) -> io::Result<usize> {
-        let left = by.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+    fn read(connection: &mut Self::Connection, buffer: &mut [u8], deadline: Instant) -> io::Result<usize> {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if time_left.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
-        line.set_read_timeout(Some(left))?;
-        (&**line).read(part).map_err(|e| match e.kind() {
+        connection.set_read_timeout(Some(time_left))?;
+        (&**connection).read(buffer).map_err(|e| match e.kind() {
             ErrorKind::WouldBlock => ErrorKind::TimedOut.into(),
             _ => e,
         })
     }
 
-    fn ring(bell: &Bell) {
-        *bell.rung.lock().unwrap() = true;
-        bell.woken.notify_one();
+    fn wake(waker: &Waker) {
+        *waker.woken.lock().unwrap() = true;
+        waker.condvar.notify_one();
     }
 
-    fn wait(bell: &Bell, span: Duration) {
-        let rung = bell.rung.lock().unwrap();
-        let (mut rung, _) = bell.woken.wait_timeout_while(rung, span, |rung| !*rung).unwrap();
-        *rung = false;
+    fn wait(waker: &Waker, span: Duration) {
+        let woken = waker.woken.lock().unwrap();
+        let (mut woken, _) = waker.condvar.wait_timeout_while(woken, span, |woken| !*woken).unwrap();
+        *woken = false;
     }
 
-    fn pause(span: Duration) {
+    fn sleep(span: Duration) {
         std::thread::sleep(span);
     }
 
-    fn beside(work: impl FnOnce() + Send + 'static) {
+    fn spawn(work: impl FnOnce() + Send + 'static) {
         std::thread::spawn(work);
     }
 }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -124,12 +124,12 @@
 /// connection is closed, and the marshal aborts the RPC on that. Use one for each call; clones refer to the
 /// same call.
 #[derive(Clone, Default)]
-pub struct Cancel(Arc<Mutex<State>>);
+pub struct Cancel(Arc<Mutex<CancelState>>);
 
 #[derive(Default)]
-struct State {
-    done: bool,
-    tell: Option<Box<dyn FnOnce() + Send>>,
+struct CancelState {
+    cancelled: bool,
+    callback: Option<Box<dyn FnOnce() + Send>>,
 }
 
 impl fmt::Debug for Cancel {
@@ -146,30 +146,30 @@
 
     /// Cancels the call; has no effect once the call has ended.
     pub fn cancel(&self) {
-        let tell = {
+        let callback = {
             let mut state = self.0.lock().unwrap();
-            state.done = true;
-            state.tell.take()
+            state.cancelled = true;
+            state.callback.take()
         };
-        if let Some(tell) = tell {
-            tell();
+        if let Some(callback) = callback {
+            callback();
         }
     }
 
     /// Registers what to do on cancellation; runs it at once if already cancelled.
-    pub(crate) fn then(&self, tell: impl FnOnce() + Send + 'static) {
+    pub(crate) fn on_cancel(&self, callback: impl FnOnce() + Send + 'static) {
         let mut state = self.0.lock().unwrap();
-        if state.done {
+        if state.cancelled {
             drop(state);
-            tell();
+            callback();
         } else {
-            state.tell = Some(Box::new(tell));
+            state.callback = Some(Box::new(callback));
         }
     }
 
     /// Removes the registration when the call has ended.
-    pub(crate) fn over(&self) {
-        self.0.lock().unwrap().tell = None;
+    pub(crate) fn disarm(&self) {
+        self.0.lock().unwrap().callback = None;
     }
 }
 
@@ -201,5 +201,5 @@
     fn tried(&self, _tag: u64, _how: Tried) {}
 
     /// A call has ended, after `tries` attempts.
-    fn ended(&self, _tag: u64, _method: &str, _end: End, _took: Duration, _tries: u32) {}
+    fn call_ended(&self, _tag: u64, _method: &str, _end: End, _took: Duration, _tries: u32) {}
 }
--- a/crates/client/src/spoken.rs
+++ b/crates/client/src/codec.rs
@@ -9,16 +9,18 @@
 use crate::core::Reply;
 
 /// Upper limit of `retry-after-ms`; higher values are taken for a mistake.
-const LONGEST_WAIT_MS: u64 = 600_000;
+const MAX_RETRY_AFTER_MS: u64 = 600_000;
 
-/// Encodes a call. `earlier`: number of attempts made before this one; `more`: a further header field.
-pub fn bytes(call: &Call, left: Duration, earlier: u32, more: Option<(&str, String)>) -> Vec<u8> {
+/// Encodes a call. `previous_attempts`: number of attempts made before this one; `extra_field`: a further header field.
+pub fn encode_call(
+    call: &Call, time_left: Duration, previous_attempts: u32, extra_field: Option<(&str, String)>,
+) -> Vec<u8> {
     let mut head = HeadWriter::request("POST", &format!("/{}", call.method))
         .field("host", "ivydrift")
-        .field(rpc::TIMEOUT, rpc::write_timeout(left))
+        .field(rpc::TIMEOUT, rpc::write_timeout(time_left))
         .field("content-length", call.body.len().to_string());
-    if earlier > 0 {
-        head = head.field(rpc::EARLIER_TRIES, earlier.to_string());
+    if previous_attempts > 0 {
+        head = head.field(rpc::EARLIER_TRIES, previous_attempts.to_string());
     }
     if let Some(token) = call.token {
         head = head.field(rpc::TOKEN, token);
@@ -26,24 +28,26 @@
     if let Some(key) = call.key {
         head = head.field(rpc::KEY, key);
     }
-    for (name, value) in call.fields.iter().map(|f| (f.0, &f.1)).chain(more.as_ref().map(|f| (f.0, &f.1))) {
+    for (name, value) in
+        call.fields.iter().map(|f| (f.0, &f.1)).chain(extra_field.as_ref().map(|f| (f.0, &f.1)))
+    {
         head = head.field(name, value);
     }
     [&head.finish()[..], call.body].concat()
 }
 
 /// Reads the span over which the marshal wants its clients to reconnect if it goes away.
-pub fn spread(head: &Response) -> Option<Duration> {
+pub fn reconnect_spread(head: &Response) -> Option<Duration> {
     head.fields.get(rpc::SPREAD_MS).and_then(|ms| ms.parse().ok()).map(Duration::from_millis)
 }
 
 /// Decodes an answer. One without the marshal's answer field and with a status from 500 on counts as aborted.
-pub fn read(head: &Response, body: Vec<u8>) -> (Reply, Answer) {
+pub fn decode_answer(head: &Response, body: Vec<u8>) -> (Reply, Answer) {
     let number = |name| head.fields.get(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     let reply = match rpc::Kind::read(&head.fields) {
         Some(rpc::Kind::Ok) => Reply::Ok,
         Some(rpc::Kind::PushedBack) => Reply::PushedBack {
-            retry_after: Duration::from_millis(number(rpc::RETRY_AFTER_MS).min(LONGEST_WAIT_MS)),
+            retry_after: Duration::from_millis(number(rpc::RETRY_AFTER_MS).min(MAX_RETRY_AFTER_MS)),
         },
         Some(rpc::Kind::Aborted) => Reply::Aborted,
         None if head.status < 500 => Reply::Rejected,
--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -45,16 +45,16 @@
     /// with each attempt.
     pub wait: [Duration; 2],
     /// The same for connections to a marshal that refused or closed one.
-    pub reconnect: [Duration; 2],
+    pub reconnect_backoff: [Duration; 2],
     /// Outlier ejection: after this many consecutive failures a marshal is not used for this time. At most half
     /// of the marshals are ejected at once.
-    pub eject: (u32, Duration),
+    pub ejection: (u32, Duration),
     /// Connections that have been idle for longer than this are not used for non-idempotent calls.
     pub fresh: Duration,
     /// Calls are throttled at random once attempts exceed this multiple of the accepted ones.
-    pub throttle: f64,
+    pub throttle_ratio: f64,
     /// Shortest time in which an answer can arrive; nothing is sent with less time left.
-    pub least: Duration,
+    pub min_time_left: Duration,
 }
 
 impl Default for Manners {
@@ -68,11 +68,11 @@
             earned: 0.1,
             store: 10.0,
             wait: [ms(50), ms(1000)],
-            reconnect: [ms(200), ms(10_000)],
-            eject: (3, ms(2000)),
+            reconnect_backoff: [ms(200), ms(10_000)],
+            ejection: (3, ms(2000)),
             fresh: ms(1000),
-            throttle: 2.0,
-            least: ms(5),
+            throttle_ratio: 2.0,
+            min_time_left: ms(5),
         }
     }
 }
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// A caller makes a call, with this much time until its deadline.
-    Call { call: CallId, kind: Kind, within: Duration },
+    Call { call: CallId, kind: Kind, timeout: Duration },
     /// A connection was established.
     Connected { conn: ConnId },
     /// A connection could not be established.
@@ -139,8 +139,8 @@
 pub enum Action {
     /// Open a connection to the marshal in this slot.
     Connect { conn: ConnId, marshal: usize },
-    /// Send the call on this connection. `earlier`: number of attempts made before, to be sent along.
-    Send { call: CallId, conn: ConnId, left: Duration, earlier: u32 },
+    /// Send the call on this connection. `previous_attempts`: number of attempts made before, to be sent along.
+    Send { call: CallId, conn: ConnId, time_left: Duration, previous_attempts: u32 },
     /// Close this connection.
     Close { conn: ConnId },
     /// Return this result to the caller.
@@ -149,16 +149,16 @@
 
 /// State of a connection, with the slot of its marshal; the time is that since when it is idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Conn {
+enum ConnState {
     Connecting(usize),
     Idle(usize, Duration),
     Busy(usize, CallId),
 }
 
-impl Conn {
+impl ConnState {
     fn marshal(&self) -> usize {
         match *self {
-            Conn::Connecting(of) | Conn::Idle(of, _) | Conn::Busy(of, _) => of,
+            ConnState::Connecting(owner) | ConnState::Idle(owner, _) | ConnState::Busy(owner, _) => owner,
         }
     }
 }
@@ -166,70 +166,70 @@
 struct Call {
     kind: Kind,
     /// Deadline.
-    until: Duration,
+    deadline: Duration,
     /// When the first attempt was sent.
-    first: Option<Duration>,
-    tries: u32,
+    first_sent: Option<Duration>,
+    attempts: u32,
     /// An earlier attempt may have run.
-    ran: bool,
+    may_have_run: bool,
     /// Result of the latest attempt: the call ends with it if it cannot be retried.
-    last: Option<End>,
-    stage: Stage,
+    last_end: Option<End>,
+    state: CallState,
 }
 
 /// Queued for a connection, waiting for a retry at this time, or in flight on this connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
+enum CallState {
     Queued,
-    Waiting(Duration),
-    Out(ConnId),
+    Backoff(Duration),
+    InFlight(ConnId),
 }
 
 #[derive(Default)]
 struct Marshal {
     near: bool,
     /// The marshal was removed; the slot is free once it has no connection left.
-    gone: bool,
+    removed: bool,
     /// Consecutive failures.
     failures: u32,
     /// Ejected until this time.
-    out_until: Duration,
+    ejected_until: Duration,
     /// Failed connection attempts and lost connections since a connection was last established.
-    attempts: u32,
+    connect_failures: u32,
     /// No new connection before this time.
-    connect_at: Duration,
+    connect_after: Duration,
     /// Span over which the marshal wants its clients to reconnect if it goes away.
-    spread: Duration,
+    reconnect_spread: Duration,
 }
 
-/// Time constant, in seconds, of the exponential decay of `asked` and `through`.
-const FADE: f64 = 3.0;
+/// Time constant, in seconds, of the exponential decay of `recent_attempts` and `recent_accepted`.
+const DECAY_SECONDS: f64 = 3.0;
 /// Upper limit of a marshal's spread; higher values are taken for a mistake.
-const LONGEST_SPREAD: Duration = Duration::from_secs(120);
+const MAX_RECONNECT_SPREAD: Duration = Duration::from_secs(120);
 /// Highest probability with which a call is throttled. Some calls always pass, so that the recovery of a
 /// marshal is noticed.
-const MOST_HELD: f64 = 0.9;
+const MAX_THROTTLE_PROBABILITY: f64 = 0.9;
 
 /// The state machine of a channel.
 pub struct Core {
     manners: Manners,
     marshals: Vec<Marshal>,
-    conns: BTreeMap<ConnId, Conn>,
+    conns: BTreeMap<ConnId, ConnState>,
     calls: HashMap<CallId, Call>,
     queue: VecDeque<CallId>,
     /// Deadlines and retry times, by call.
-    due: BTreeSet<(Duration, CallId)>,
+    timers: BTreeSet<(Duration, CallId)>,
     /// No warm connection is opened before this time, to any marshal: clients that lost their connections
     /// together must not reconnect together, wherever they connect to.
-    warm_at: Duration,
+    warm_connect_after: Duration,
     /// Retries left in the budget.
-    store: f64,
+    retry_budget: f64,
     /// Exponentially decayed numbers of attempts that have ended (including throttled calls) and of those that
     /// were accepted. Attempts in flight count for neither: many concurrent calls are not a sign of overload.
-    asked: f64,
-    through: f64,
+    recent_attempts: f64,
+    recent_accepted: f64,
     /// When the two were last decayed.
-    faded: Duration,
+    decayed_at: Duration,
     now: Duration,
     next_conn: ConnId,
     rng: StdRng,
@@ -237,14 +237,14 @@
     pub counts: Counts,
 }
 
-/// Counters of a channel. `held_back`: throttled calls.
+/// Counters of a channel. `throttled`: calls that were refused here and not sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub calls: u64,
     pub sent: u64,
-    pub repeats: u64,
+    pub retries: u64,
     pub connects: u64,
-    pub held_back: u64,
+    pub throttled: u64,
 }
 
 impl Core {
@@ -252,17 +252,17 @@
     pub fn new(manners: Manners, near: &[bool], seed: u64) -> Self {
         let marshals = near.iter().map(|&near| Marshal { near, ..Marshal::default() }).collect();
         Core {
-            store: manners.store,
+            retry_budget: manners.store,
             manners,
             marshals,
             conns: BTreeMap::new(),
             calls: HashMap::new(),
             queue: VecDeque::new(),
-            due: BTreeSet::new(),
-            warm_at: Duration::ZERO,
-            asked: 0.0,
-            through: 0.0,
-            faded: Duration::ZERO,
+            timers: BTreeSet::new(),
+            warm_connect_after: Duration::ZERO,
+            recent_attempts: 0.0,
+            recent_accepted: 0.0,
+            decayed_at: Duration::ZERO,
             now: Duration::ZERO,
             next_conn: 0,
             rng: StdRng::seed_from_u64(seed),
@@ -273,24 +273,25 @@
     /// Returns when [`Event::Tick`] is due next; none if nothing waits for a time.
     pub fn due(&self) -> Option<Duration> {
         // Times in the past were handled when they came.
-        let ahead = self.marshals.iter().map(|m| m.connect_at.max(m.out_until)).filter(|&at| at > self.now);
+        let ahead =
+            self.marshals.iter().map(|m| m.connect_after.max(m.ejected_until)).filter(|&at| at > self.now);
         let next = ahead.min();
         let queued = next.filter(|_| !self.queue.is_empty());
         let warm = (self.conns.len() < self.manners.warm).then_some(());
-        let warm = warm.and_then(|()| Some(self.warm_at).filter(|&at| at > self.now).or(next));
-        self.due.first().map(|d| d.0).into_iter().chain(queued).chain(warm).min()
+        let warm = warm.and_then(|()| Some(self.warm_connect_after).filter(|&at| at > self.now).or(next));
+        self.timers.first().map(|d| d.0).into_iter().chain(queued).chain(warm).min()
     }
 
     /// Returns true if the slot holds a marshal.
     pub fn has_marshal(&self, slot: usize) -> bool {
-        self.marshals.get(slot).is_some_and(|m| !m.gone)
+        self.marshals.get(slot).is_some_and(|m| !m.removed)
     }
 
     /// Adds a marshal and returns its slot. The slot of a removed marshal is reused once it has no connection
     /// left.
     pub fn add_marshal(&mut self, near: bool) -> usize {
         let used = |core: &Self, slot: usize| core.conns.values().any(|c| c.marshal() == slot);
-        let free = (0..self.marshals.len()).find(|&slot| self.marshals[slot].gone && !used(self, slot));
+        let free = (0..self.marshals.len()).find(|&slot| self.marshals[slot].removed && !used(self, slot));
         let slot = free.unwrap_or(self.marshals.len());
         self.marshals.resize_with(self.marshals.len().max(slot + 1), Marshal::default);
         self.marshals[slot] = Marshal { near, ..Marshal::default() };
@@ -299,339 +300,370 @@
 
     /// Removes a marshal: idle connections to it are closed, calls in flight complete on theirs.
     pub fn remove_marshal(&mut self, now: Duration, slot: usize) -> Vec<Action> {
-        let Some(marshal) = self.marshals.get_mut(slot).filter(|m| !m.gone) else { return vec![] };
-        marshal.gone = true;
-        let idle = |c: &Conn| matches!(*c, Conn::Idle(of, _) if of == slot);
+        let Some(marshal) = self.marshals.get_mut(slot).filter(|m| !m.removed) else { return vec![] };
+        marshal.removed = true;
+        let idle = |c: &ConnState| matches!(*c, ConnState::Idle(owner, _) if owner == slot);
         let close: Vec<ConnId> = self.conns.iter().filter(|c| idle(c.1)).map(|c| *c.0).collect();
         close.iter().for_each(|conn| _ = self.conns.remove(conn));
-        let mut out: Vec<Action> = close.into_iter().map(|conn| Action::Close { conn }).collect();
-        out.extend(self.handle(now, Event::Tick));
-        out
+        let mut actions: Vec<Action> = close.into_iter().map(|conn| Action::Close { conn }).collect();
+        actions.extend(self.handle(now, Event::Tick));
+        actions
     }
 
     /// Handles an event and returns the actions to execute.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         // Two callers may read the clock in one order and get here in the other.
         let now = now.max(self.now);
         self.now = now;
         match event {
-            Event::Call { call, kind, within } => self.take(now, call, kind, within, &mut out),
+            Event::Call { call, kind, timeout } => self.admit(now, call, kind, timeout, &mut actions),
             Event::Connected { conn } => {
-                if let Some(Conn::Connecting(marshal)) = self.conns.get(&conn).copied() {
-                    if self.marshals[marshal].gone {
+                if let Some(ConnState::Connecting(marshal)) = self.conns.get(&conn).copied() {
+                    if self.marshals[marshal].removed {
                         self.conns.remove(&conn);
-                        out.push(Action::Close { conn });
+                        actions.push(Action::Close { conn });
                     } else {
-                        self.conns.insert(conn, Conn::Idle(marshal, now));
-                        self.marshals[marshal].attempts = 0;
+                        self.conns.insert(conn, ConnState::Idle(marshal, now));
+                        self.marshals[marshal].connect_failures = 0;
                     }
                 }
             }
             Event::ConnectFailed { conn } => {
-                if let Some(Conn::Connecting(marshal)) = self.conns.remove(&conn) {
-                    self.failed(now, marshal);
-                    self.hold_off(now, marshal);
+                if let Some(ConnState::Connecting(marshal)) = self.conns.remove(&conn) {
+                    self.record_failure(now, marshal);
+                    self.back_off(now, marshal);
                 }
             }
             Event::Closed { conn, draining } => {
-                if let Some(Conn::Idle(marshal, _)) = self.conns.get(&conn).copied() {
+                if let Some(ConnState::Idle(marshal, _)) = self.conns.get(&conn).copied() {
                     self.conns.remove(&conn);
                     // The marshal's other clients may have lost their connections at the same time, so the
                     // reconnect is jittered.
-                    self.hold_off(now, marshal);
+                    self.back_off(now, marshal);
                     if draining {
-                        self.marshals[marshal].out_until = now + self.manners.eject.1;
+                        self.marshals[marshal].ejected_until = now + self.manners.ejection.1;
                     }
                 }
             }
-            Event::Answered { call, reply, keep } => self.answered(now, call, reply, keep, &mut out),
-            Event::Lost { call, sent } => self.lost(now, call, sent, &mut out),
+            Event::Answered { call, reply, keep } => self.on_answered(now, call, reply, keep, &mut actions),
+            Event::Lost { call, sent } => self.on_lost(now, call, sent, &mut actions),
             Event::Spread { call, span } => {
-                if let Some(marshal) = self.place_of(call) {
-                    self.marshals[marshal].spread = span.min(LONGEST_SPREAD);
+                if let Some(marshal) = self.marshal_of(call) {
+                    self.marshals[marshal].reconnect_spread = span.min(MAX_RECONNECT_SPREAD);
                 }
             }
-            Event::Cancelled { call } => self.finish(call, End::Cancelled, &mut out),
+            Event::Cancelled { call } => self.finish(call, End::Cancelled, &mut actions),
             Event::Tick => {}
         }
-        self.pass_time(now, &mut out);
-        self.pump(now, &mut out);
-        out
+        self.expire_timers(now, &mut actions);
+        self.send_and_connect(now, &mut actions);
+        actions
     }
 
     /// Admits a call: throttles it, refuses it if the queue is full, or queues it.
-    fn take(&mut self, now: Duration, call: CallId, kind: Kind, within: Duration, out: &mut Vec<Action>) {
+    fn admit(
+        &mut self, now: Duration, call: CallId, kind: Kind, timeout: Duration, actions: &mut Vec<Action>,
+    ) {
         self.counts.calls += 1;
-        self.fade(now);
-        self.store = (self.store + self.manners.earned).min(self.manners.store);
+        self.decay(now);
+        self.retry_budget = (self.retry_budget + self.manners.earned).min(self.manners.store);
         // Adaptive throttling as in Google's SRE book: the rate of local refusals grows with that of the
         // marshals' push-backs.
-        let excess = (self.asked - self.manners.throttle * (self.through + 5.0)) / (self.asked + 1.0);
-        if excess > 0.0 && self.rng.random_bool(excess.min(MOST_HELD)) {
-            self.counts.held_back += 1;
-            self.asked += 1.0;
-            out.push(Action::Finish { call, end: End::PushedBack { local: true } });
+        let excess = (self.recent_attempts - self.manners.throttle_ratio * (self.recent_accepted + 5.0))
+            / (self.recent_attempts + 1.0);
+        if excess > 0.0 && self.rng.random_bool(excess.min(MAX_THROTTLE_PROBABILITY)) {
+            self.counts.throttled += 1;
+            self.recent_attempts += 1.0;
+            actions.push(Action::Finish { call, end: End::PushedBack { local: true } });
             return;
         }
         if self.queue.len() >= self.manners.queue {
-            out.push(Action::Finish { call, end: End::QueueFull });
+            actions.push(Action::Finish { call, end: End::QueueFull });
             return;
         }
-        let until = now + within;
-        let stage = Stage::Queued;
-        let one = Call { kind, until, first: None, tries: 0, ran: false, last: None, stage };
-        if self.calls.insert(call, one).is_none() {
+        let deadline = now + timeout;
+        let state = CallState::Queued;
+        let new_call = Call {
+            kind,
+            deadline,
+            first_sent: None,
+            attempts: 0,
+            may_have_run: false,
+            last_end: None,
+            state,
+        };
+        if self.calls.insert(call, new_call).is_none() {
             self.queue.push_back(call);
-            self.due.insert((until, call));
+            self.timers.insert((deadline, call));
         }
     }
 
     /// Applies the decay up to `now`.
-    fn fade(&mut self, now: Duration) {
-        let past = now.saturating_sub(self.faded).as_secs_f64();
-        let part = (-past / FADE).exp();
-        (self.asked, self.through, self.faded) = (self.asked * part, self.through * part, now);
+    fn decay(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.decayed_at).as_secs_f64();
+        let factor = (-elapsed / DECAY_SECONDS).exp();
+        (self.recent_attempts, self.recent_accepted, self.decayed_at) =
+            (self.recent_attempts * factor, self.recent_accepted * factor, now);
     }
 
     /// Returns a random part of a span that doubles with each attempt (full jitter).
-    fn jitter(&mut self, [base, most]: [Duration; 2], attempts: u32) -> Duration {
-        let span = base.saturating_mul(1 << attempts.min(16)).min(most);
+    fn jitter(&mut self, [base, limit]: [Duration; 2], attempts: u32) -> Duration {
+        let span = base.saturating_mul(1 << attempts.min(16)).min(limit);
         span.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
     /// Returns the slot of the marshal that handles the call's attempt.
-    fn place_of(&self, call: CallId) -> Option<usize> {
-        let Stage::Out(conn) = self.calls.get(&call)?.stage else { return None };
-        self.conns.get(&conn).map(Conn::marshal)
+    fn marshal_of(&self, call: CallId) -> Option<usize> {
+        let CallState::InFlight(conn) = self.calls.get(&call)?.state else { return None };
+        self.conns.get(&conn).map(ConnState::marshal)
     }
 
     /// Delays new connections to a marshal after a failed or closed connection.
-    fn hold_off(&mut self, now: Duration, marshal: usize) {
-        let Marshal { attempts, spread, .. } = self.marshals[marshal];
-        let [base, most] = self.manners.reconnect;
-        let (base, most) = (base.max(spread), most.max(spread));
-        let wait = self.jitter([base, most], attempts);
-        self.marshals[marshal].attempts += 1;
+    fn back_off(&mut self, now: Duration, marshal: usize) {
+        let Marshal { connect_failures, reconnect_spread, .. } = self.marshals[marshal];
+        let [base, limit] = self.manners.reconnect_backoff;
+        let (base, limit) = (base.max(reconnect_spread), limit.max(reconnect_spread));
+        let wait = self.jitter([base, limit], connect_failures);
+        self.marshals[marshal].connect_failures += 1;
         // If other marshals are usable, this one is reconnected last, and its backoff does not delay
         // connections to the others.
-        let fine = |(m, other): (usize, &Marshal)| m != marshal && !other.gone && other.attempts == 0;
-        let others = self.marshals.iter().enumerate().any(fine);
-        let (first, again) = if others { (self.jitter([base, base], 0), base + wait) } else { (wait, wait) };
-        self.warm_at = self.warm_at.max(now + first);
+        let usable =
+            |(m, other): (usize, &Marshal)| m != marshal && !other.removed && other.connect_failures == 0;
+        let other_usable = self.marshals.iter().enumerate().any(usable);
+        let (warm_delay, delay) =
+            if other_usable { (self.jitter([base, base], 0), base + wait) } else { (wait, wait) };
+        self.warm_connect_after = self.warm_connect_after.max(now + warm_delay);
         let marshal = &mut self.marshals[marshal];
-        marshal.connect_at = marshal.connect_at.max(now + again);
+        marshal.connect_after = marshal.connect_after.max(now + delay);
     }
 
     /// Counts a failure of a marshal and ejects it if it has too many, as long as at most half of the marshals
     /// are ejected.
-    fn failed(&mut self, now: Duration, marshal: usize) {
-        let (most, span) = self.manners.eject;
+    fn record_failure(&mut self, now: Duration, marshal: usize) {
+        let (limit, span) = self.manners.ejection;
         self.marshals[marshal].failures += 1;
-        let present = || self.marshals.iter().filter(|m| !m.gone);
-        let (out, all) = (present().filter(|m| m.out_until > now).count(), present().count());
-        if self.marshals[marshal].failures >= most && 2 * (out + 1) <= all {
-            self.marshals[marshal].out_until = now + span;
+        let present = || self.marshals.iter().filter(|m| !m.removed);
+        let (ejected, total) = (present().filter(|m| m.ejected_until > now).count(), present().count());
+        if self.marshals[marshal].failures >= limit && 2 * (ejected + 1) <= total {
+            self.marshals[marshal].ejected_until = now + span;
             self.marshals[marshal].failures = 0;
         }
     }
 
     /// Ends the call's attempt: its connection becomes idle or is closed. Returns the marshal's slot.
-    fn release(&mut self, now: Duration, call: CallId, keep: bool, out: &mut Vec<Action>) -> Option<usize> {
-        let Stage::Out(conn) = self.calls.get(&call)?.stage else { return None };
-        let Some(Conn::Busy(marshal, _)) = self.conns.get(&conn).copied() else { return None };
-        if keep && !self.marshals[marshal].gone {
-            self.conns.insert(conn, Conn::Idle(marshal, now));
+    fn end_attempt(
+        &mut self, now: Duration, call: CallId, keep: bool, actions: &mut Vec<Action>,
+    ) -> Option<usize> {
+        let CallState::InFlight(conn) = self.calls.get(&call)?.state else { return None };
+        let Some(ConnState::Busy(marshal, _)) = self.conns.get(&conn).copied() else { return None };
+        if keep && !self.marshals[marshal].removed {
+            self.conns.insert(conn, ConnState::Idle(marshal, now));
         } else {
             self.conns.remove(&conn);
-            out.push(Action::Close { conn });
+            actions.push(Action::Close { conn });
         }
         Some(marshal)
     }
 
-    fn answered(&mut self, now: Duration, call: CallId, reply: Reply, keep: bool, out: &mut Vec<Action>) {
-        let Some(marshal) = self.release(now, call, keep, out) else { return };
+    fn on_answered(
+        &mut self, now: Duration, call: CallId, reply: Reply, keep: bool, actions: &mut Vec<Action>,
+    ) {
+        let Some(marshal) = self.end_attempt(now, call, keep, actions) else { return };
         self.marshals[marshal].failures = 0;
-        self.asked += 1.0;
+        self.recent_attempts += 1.0;
         match reply {
             Reply::Ok => {
-                self.through += 1.0;
-                self.finish(call, End::Ok, out);
+                self.recent_accepted += 1.0;
+                self.finish(call, End::Ok, actions);
             }
-            Reply::Rejected => self.finish(call, End::Rejected, out),
+            Reply::Rejected => self.finish(call, End::Rejected, actions),
             Reply::PushedBack { retry_after } => {
                 // Jitter is added: calls that were pushed back together must not return together.
                 let wait = retry_after.mul_f64(self.rng.random_range(1.0..1.5));
-                self.again(now, call, false, End::PushedBack { local: false }, Some(wait), out);
+                self.retry_or_finish(now, call, false, End::PushedBack { local: false }, Some(wait), actions);
             }
             Reply::Aborted => {
-                self.through += 1.0;
-                self.again(now, call, true, End::Aborted, None, out);
+                self.recent_accepted += 1.0;
+                self.retry_or_finish(now, call, true, End::Aborted, None, actions);
             }
         }
     }
 
-    fn lost(&mut self, now: Duration, call: CallId, sent: bool, out: &mut Vec<Action>) {
-        let Some(marshal) = self.release(now, call, false, out) else { return };
-        self.asked += 1.0;
-        self.failed(now, marshal);
-        self.hold_off(now, marshal);
+    fn on_lost(&mut self, now: Duration, call: CallId, sent: bool, actions: &mut Vec<Action>) {
+        let Some(marshal) = self.end_attempt(now, call, false, actions) else { return };
+        self.recent_attempts += 1.0;
+        self.record_failure(now, marshal);
+        self.back_off(now, marshal);
         let end = if sent { End::Unknown } else { End::NotSent };
-        self.again(now, call, sent, end, None, out);
+        self.retry_or_finish(now, call, sent, end, None, actions);
     }
 
     /// Retries a call if that is safe, possible before its deadline and within the retry budget; ends it
     /// otherwise.
-    fn again(
-        &mut self, now: Duration, id: CallId, ran: bool, end: End, wait: Option<Duration>,
-        out: &mut Vec<Action>,
+    fn retry_or_finish(
+        &mut self, now: Duration, id: CallId, may_have_run: bool, end: End, wait: Option<Duration>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(tries) = self.calls.get(&id).map(|c| c.tries) else { return };
-        let wait = wait.unwrap_or_else(|| self.jitter(self.manners.wait, tries.saturating_sub(1)));
+        let Some(attempts) = self.calls.get(&id).map(|c| c.attempts) else { return };
+        let wait = wait.unwrap_or_else(|| self.jitter(self.manners.wait, attempts.saturating_sub(1)));
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.ran |= ran;
+        call.may_have_run |= may_have_run;
         // Once an attempt may have run, the call may have run, whatever a later attempt reports.
         let end = match end {
-            End::PushedBack { .. } | End::NotSent if call.ran => End::Unknown,
+            End::PushedBack { .. } | End::NotSent if call.may_have_run => End::Unknown,
             end => end,
         };
-        call.last = Some(end);
+        call.last_end = Some(end);
         let at = now + wait;
         let allowed = match call.kind {
             Kind::Idempotent => true,
-            Kind::NonIdempotent => !call.ran,
+            Kind::NonIdempotent => !call.may_have_run,
             Kind::Tokened { window } => {
-                !call.ran || call.first.is_none_or(|first| at + self.manners.least < first + window)
+                !call.may_have_run
+                    || call
+                        .first_sent
+                        .is_none_or(|first_sent| at + self.manners.min_time_left < first_sent + window)
             }
         };
-        if !allowed || at + self.manners.least >= call.until || self.store < 1.0 {
-            self.finish(id, end, out);
+        if !allowed || at + self.manners.min_time_left >= call.deadline || self.retry_budget < 1.0 {
+            self.finish(id, end, actions);
             return;
         }
-        self.store -= 1.0;
-        call.stage = Stage::Waiting(at);
-        self.due.insert((at, id));
+        self.retry_budget -= 1.0;
+        call.state = CallState::Backoff(at);
+        self.timers.insert((at, id));
     }
 
     /// Ends a call. An attempt in flight loses its connection.
-    fn finish(&mut self, id: CallId, end: End, out: &mut Vec<Action>) {
+    fn finish(&mut self, id: CallId, end: End, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
-        if let Stage::Out(conn) = call.stage {
-            if matches!(self.conns.get(&conn), Some(Conn::Busy(_, of)) if *of == id) {
+        if let CallState::InFlight(conn) = call.state {
+            if matches!(self.conns.get(&conn), Some(ConnState::Busy(_, owner)) if *owner == id) {
                 // A late answer must not reach another call, so the connection is closed.
                 self.conns.remove(&conn);
-                out.push(Action::Close { conn });
+                actions.push(Action::Close { conn });
             }
         }
-        self.due.remove(&(call.until, id));
-        if let Stage::Waiting(at) = call.stage {
-            self.due.remove(&(at, id));
+        self.timers.remove(&(call.deadline, id));
+        if let CallState::Backoff(at) = call.state {
+            self.timers.remove(&(at, id));
         }
         self.queue.retain(|&queued| queued != id);
-        out.push(Action::Finish { call: id, end });
+        actions.push(Action::Finish { call: id, end });
     }
 
     /// Ends calls whose deadline has passed and queues those whose retry is due.
-    fn pass_time(&mut self, now: Duration, out: &mut Vec<Action>) {
-        while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
-            self.due.remove(&(at, id));
+    fn expire_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        while let Some(&(at, id)) = self.timers.first().filter(|d| d.0 <= now) {
+            self.timers.remove(&(at, id));
             let Some(call) = self.calls.get_mut(&id) else { continue };
-            if now >= call.until {
-                let out_now = matches!(call.stage, Stage::Out(_));
-                self.asked += f64::from(u8::from(out_now));
-                let end = match call.last {
-                    _ if out_now || call.ran => End::Unknown,
+            if now >= call.deadline {
+                let was_in_flight = matches!(call.state, CallState::InFlight(_));
+                self.recent_attempts += f64::from(u8::from(was_in_flight));
+                let end = match call.last_end {
+                    _ if was_in_flight || call.may_have_run => End::Unknown,
                     Some(end) => end,
                     None => End::NotSent,
                 };
-                self.finish(id, end, out);
-            } else if call.stage == Stage::Waiting(at) {
-                call.stage = Stage::Queued;
+                self.finish(id, end, actions);
+            } else if call.state == CallState::Backoff(at) {
+                call.state = CallState::Queued;
                 self.queue.push_back(id);
             }
         }
     }
 
     /// Returns the number of attempts in flight at a marshal.
-    fn load(&self, marshal: usize) -> usize {
-        self.conns.values().filter(|c| matches!(c, Conn::Busy(m, _) if *m == marshal)).count()
+    fn in_flight(&self, marshal: usize) -> usize {
+        self.conns.values().filter(|c| matches!(c, ConnState::Busy(m, _) if *m == marshal)).count()
     }
 
     /// Chooses the less loaded of two random marshals (by this client's own attempts) among those that fit and
     /// are not ejected; those of the own zone take precedence.
-    fn choose(&mut self, now: Duration, fits: impl Fn(&Self, usize) -> bool) -> Option<usize> {
+    fn choose_marshal(&mut self, now: Duration, eligible: impl Fn(&Self, usize) -> bool) -> Option<usize> {
         for near in [true, false] {
-            let list: Vec<usize> = (0..self.marshals.len())
+            let candidates: Vec<usize> = (0..self.marshals.len())
                 .filter(|&m| {
                     let marshal = &self.marshals[m];
-                    marshal.near == near && !marshal.gone && marshal.out_until <= now && fits(self, m)
+                    marshal.near == near
+                        && !marshal.removed
+                        && marshal.ejected_until <= now
+                        && eligible(self, m)
                 })
                 .collect();
-            if list.is_empty() {
+            if candidates.is_empty() {
                 continue;
             }
-            let (a, b) = (self.rng.random_range(0..list.len()), self.rng.random_range(0..list.len()));
-            let (a, b) = (list[a], list[b]);
-            return Some(if self.load(b) < self.load(a) { b } else { a });
+            let (a, b) =
+                (self.rng.random_range(0..candidates.len()), self.rng.random_range(0..candidates.len()));
+            let (a, b) = (candidates[a], candidates[b]);
+            return Some(if self.in_flight(b) < self.in_flight(a) { b } else { a });
         }
         None
     }
 
     /// Sends queued calls on idle connections, then opens connections for the rest and for the warm pool.
-    fn pump(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let mut held = VecDeque::new();
+    fn send_and_connect(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let mut unsent = VecDeque::new();
         while let Some(id) = self.queue.pop_front() {
             let Some(call) = self.calls.get(&id) else { continue };
-            let left = call.until.saturating_sub(now);
-            if left <= self.manners.least {
+            let time_left = call.deadline.saturating_sub(now);
+            if time_left <= self.manners.min_time_left {
                 // No answer can arrive in time: the call stays queued until its deadline ends it.
-                held.push_back(id);
+                unsent.push_back(id);
                 continue;
             }
             // The nodes may have forgotten the token while the call was queued.
-            if let (Kind::Tokened { window }, true, Some(first)) = (call.kind, call.ran, call.first) {
-                if now + self.manners.least >= first + window {
-                    let end = call.last.unwrap_or(End::Unknown);
-                    self.finish(id, end, out);
+            if let (Kind::Tokened { window }, true, Some(first_sent)) =
+                (call.kind, call.may_have_run, call.first_sent)
+            {
+                if now + self.manners.min_time_left >= first_sent + window {
+                    let end = call.last_end.unwrap_or(End::Unknown);
+                    self.finish(id, end, actions);
                     continue;
                 }
             }
-            let careful = call.kind == Kind::NonIdempotent;
+            let must_be_fresh = call.kind == Kind::NonIdempotent;
             let fresh = self.manners.fresh;
-            let usable = move |c: &Conn, m: usize| matches!(*c, Conn::Idle(of, since) if of == m && (!careful || now.saturating_sub(since) < fresh));
-            let idle = self.choose(now, |core, m| core.conns.values().any(|c| usable(c, m)));
+            let usable = move |c: &ConnState, m: usize| matches!(*c, ConnState::Idle(owner, since) if owner == m && (!must_be_fresh || now.saturating_sub(since) < fresh));
+            let idle = self.choose_marshal(now, |core, m| core.conns.values().any(|c| usable(c, m)));
             let conn = idle.and_then(|m| self.conns.iter().rev().find(|c| usable(c.1, m)).map(|c| *c.0));
             let Some((conn, marshal)) = conn.zip(idle) else {
-                held.push_back(id);
+                unsent.push_back(id);
                 continue;
             };
-            self.conns.insert(conn, Conn::Busy(marshal, id));
+            self.conns.insert(conn, ConnState::Busy(marshal, id));
             if let Some(call) = self.calls.get_mut(&id) {
-                call.stage = Stage::Out(conn);
-                call.first = call.first.or(Some(now));
-                let earlier = call.tries;
-                call.tries += 1;
+                call.state = CallState::InFlight(conn);
+                call.first_sent = call.first_sent.or(Some(now));
+                let previous_attempts = call.attempts;
+                call.attempts += 1;
                 self.counts.sent += 1;
-                self.counts.repeats += u64::from(earlier > 0);
-                out.push(Action::Send { call: id, conn, left, earlier });
+                self.counts.retries += u64::from(previous_attempts > 0);
+                actions.push(Action::Send { call: id, conn, time_left, previous_attempts });
             }
         }
-        self.queue = held;
+        self.queue = unsent;
         // One connection for each queued call, within the limits.
-        let connecting = self.conns.values().filter(|c| matches!(c, Conn::Connecting(_))).count();
-        let cold = if now < self.warm_at { 0 } else { self.manners.warm.saturating_sub(self.conns.len()) };
-        let wanted = self.queue.len().max(cold + connecting).min(self.manners.handshakes);
+        let connecting = self.conns.values().filter(|c| matches!(c, ConnState::Connecting(_))).count();
+        let missing_warm = if now < self.warm_connect_after {
+            0
+        } else {
+            self.manners.warm.saturating_sub(self.conns.len())
+        };
+        let wanted = self.queue.len().max(missing_warm + connecting).min(self.manners.handshakes);
         for _ in connecting..wanted {
-            let most = self.manners.connections;
-            let room = |core: &Self, m: usize| {
+            let limit = self.manners.connections;
+            let has_room = |core: &Self, m: usize| {
                 let own = core.conns.values().filter(|c| c.marshal() == m).count();
-                core.marshals[m].connect_at <= now && own < most
+                core.marshals[m].connect_after <= now && own < limit
             };
-            let Some(marshal) = self.choose(now, room) else { break };
+            let Some(marshal) = self.choose_marshal(now, has_room) else { break };
             self.next_conn += 1;
-            self.conns.insert(self.next_conn, Conn::Connecting(marshal));
+            self.conns.insert(self.next_conn, ConnState::Connecting(marshal));
             self.counts.connects += 1;
-            out.push(Action::Connect { conn: self.next_conn, marshal });
+            actions.push(Action::Connect { conn: self.next_conn, marshal });
         }
     }
 }
--- a/crates/client/src/coroutine.rs
+++ b/crates/client/src/coroutine.rs
@@ -11,7 +11,7 @@
 use may::sync::Semphore;
 
 use crate::call::Error;
-use crate::channel::{self, Builder, Means};
+use crate::channel::{self, Builder, Runtime};
 
 /// A channel for coroutines of `may`; cheap to clone and shared by any number of coroutines.
 ///
@@ -37,7 +37,7 @@
     /// # Errors
     /// Fails if no marshal or no method was added.
     pub fn build_for_coroutines(self) -> Result<Channel, Error> {
-        self.on()
+        self.build_on()
     }
 }
 
@@ -45,56 +45,56 @@
 pub struct Coroutines;
 
 /// Wakes one waiting coroutine.
-pub struct Bell(Arc<Semphore>);
+pub struct Waker(Arc<Semphore>);
 
-impl Default for Bell {
+impl Default for Waker {
     fn default() -> Self {
-        Bell(Arc::new(Semphore::new(0)))
+        Waker(Arc::new(Semphore::new(0)))
     }
 }
 
-impl Means for Coroutines {
-    type Line = Socket;
-    type Look = Look;
-    type Bell = Bell;
+impl Runtime for Coroutines {
+    type Connection = Socket;
+    type Handle = Look;
+    type Waker = Waker;
 
-    fn connect(to: SocketAddr, within: Duration) -> io::Result<Socket> {
-        Socket::connect(to, within)
+    fn connect(addr: SocketAddr, timeout: Duration) -> io::Result<Socket> {
+        Socket::connect(addr, timeout)
     }
 
-    fn look(line: &Socket) -> Look {
-        line.look()
+    fn handle(connection: &Socket) -> Look {
+        connection.look()
     }
 
-    fn quiet(look: &Look) -> bool {
-        look.quiet()
+    fn is_idle(handle: &Look) -> bool {
+        handle.quiet()
     }
 
-    fn cut(look: &Look) {
-        look.cut();
+    fn shutdown(handle: &Look) {
+        handle.cut();
     }
 
-    fn write(line: &mut Socket, bytes: &[u8], by: Instant) -> Result<(), (usize, io::Error)> {
-        line.write(bytes, by)
+    fn write(connection: &mut Socket, bytes: &[u8], deadline: Instant) -> Result<(), (usize, io::Error)> {
+        connection.write(bytes, deadline)
     }
 
-    fn read(line: &mut Socket, part: &mut [u8], by: Instant) -> io::Result<usize> {
-        line.read(part, Some(by))
+    fn read(connection: &mut Socket, buffer: &mut [u8], deadline: Instant) -> io::Result<usize> {
+        connection.read(buffer, Some(deadline))
     }
 
-    fn ring(bell: &Bell) {
-        bell.0.post();
+    fn wake(waker: &Waker) {
+        waker.0.post();
     }
 
-    fn wait(bell: &Bell, span: Duration) {
-        wait(&bell.0, span);
+    fn wait(waker: &Waker, span: Duration) {
+        wait(&waker.0, span);
     }
 
-    fn pause(span: Duration) {
+    fn sleep(span: Duration) {
         pause(span);
     }
 
-    fn beside(work: impl FnOnce() + Send + 'static) {
+    fn spawn(work: impl FnOnce() + Send + 'static) {
         go(work);
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -9,12 +9,12 @@
 pub mod blocking;
 mod call;
 mod channel;
+mod codec;
 pub mod core;
 pub mod coroutine;
-mod spoken;
 mod tokens;
 
 pub use blocking::Channel;
 pub use call::{Answer, Call, Cancel, Error, Observer, Tried};
-pub use channel::{Builder, Means};
+pub use channel::{Builder, Runtime};
 pub use core::{End, Kind, Manners, Reply};
