--- a/crates/ivydrift/src/day.rs
+++ b/crates/ivydrift/src/day.rs
@@ -10,12 +10,12 @@
 use ivydrift_standin::day::{self, Day};
 use ivydrift_standin::{bench, sim, sockets};
 
-use crate::marshals::Processes;
-use crate::table::Played;
+use crate::processes::MarshalProcesses;
+use crate::result::DayResult;
 
 /// Options common to `day` and `bench-day`: how a day is run and how its result is printed.
 #[derive(Args)]
-struct Way {
+struct RunOptions {
     /// Simulate in virtual time, with the marshals' core in this process
     #[arg(long)]
     sim: bool,
@@ -36,34 +36,34 @@
     #[arg(long)]
     script: bool,
     #[command(flatten)]
-    way: Way,
+    way: RunOptions,
 }
 
 impl BenchDayCommand {
     pub fn run(self) -> ExitCode {
         let name = self.file.display().to_string();
         let read = std::fs::read_to_string(&self.file).map_err(|e| format!("cannot be read: {e}"));
-        let carried = match read.and_then(|text| bench::read(&text)) {
-            Ok(carried) => carried,
-            Err(what) => {
-                eprintln!("{name}: {what}");
+        let converted = match read.and_then(|text| bench::read(&text)) {
+            Ok(converted) => converted,
+            Err(error) => {
+                eprintln!("{name}: {error}");
                 return ExitCode::from(2);
             }
         };
         if self.script {
-            print!("{}", carried.script);
+            print!("{}", converted.script);
             return ExitCode::SUCCESS;
         }
-        let day = match day::read(&name, &carried.script) {
+        let day = match day::read(&name, &converted.script) {
             Ok(day) => day,
-            Err(complaints) => {
-                eprintln!("{complaints}");
+            Err(errors) => {
+                eprintln!("{errors}");
                 return ExitCode::from(2);
             }
         };
-        eprintln!("{name}: run at {:.2} of its size; not converted:", carried.scale);
-        carried.lost.iter().for_each(|what| eprintln!("  - {what}"));
-        self.way.play(day)
+        eprintln!("{name}: run at {:.2} of its size; not converted:", converted.scale);
+        converted.lost.iter().for_each(|item| eprintln!("  - {item}"));
+        self.way.run_day(day)
     }
 }
 
@@ -78,21 +78,21 @@
     #[arg(long)]
     seed: Option<u64>,
     #[command(flatten)]
-    way: Way,
+    way: RunOptions,
 }
 
 impl DayCommand {
     pub fn run(self) -> ExitCode {
-        match self.script() {
-            Ok(day) => self.way.play(day),
-            Err(what) => {
-                eprintln!("{what}");
+        match self.load_script() {
+            Ok(day) => self.way.run_day(day),
+            Err(error) => {
+                eprintln!("{error}");
                 ExitCode::from(2)
             }
         }
     }
 
-    fn script(&self) -> Result<Day, String> {
+    fn load_script(&self) -> Result<Day, String> {
         let mut day = match &self.file {
             None if self.short => day::read("days/short.hcl", day::SHORT).map_err(|e| e.to_string())?,
             None => day::read("days/bad.hcl", day::BAD).map_err(|e| e.to_string())?,
@@ -108,75 +108,76 @@
     }
 }
 
-impl Way {
-    fn play(&self, day: Day) -> ExitCode {
-        let played = if self.sim { self.in_virtual_time(day) } else { self.on_sockets(day) };
-        match played {
-            Ok(played) => {
+impl RunOptions {
+    fn run_day(&self, day: Day) -> ExitCode {
+        let result = if self.sim { self.simulate(day) } else { self.run_processes(day) };
+        match result {
+            Ok(result) => {
                 if self.json {
-                    println!("{}", played.json());
+                    println!("{}", result.json());
                 } else {
-                    print!("{}", played.table());
+                    print!("{}", result.table());
                 }
-                if played.fine() {
+                if result.passed() {
                     ExitCode::SUCCESS
                 } else {
                     ExitCode::FAILURE
                 }
             }
-            Err(what) => {
-                eprintln!("the day could not be run: {what}");
+            Err(error) => {
+                eprintln!("the day could not be run: {error}");
                 ExitCode::from(3)
             }
         }
     }
 
     /// Creates the trace file, if a folder to keep it was given.
-    fn trace(&self) -> std::io::Result<Option<Box<dyn Write + Send>>> {
+    fn trace_writer(&self) -> std::io::Result<Option<Box<dyn Write + Send>>> {
         let Some(folder) = &self.keep else { return Ok(None) };
         std::fs::create_dir_all(folder)?;
         Ok(Some(Box::new(BufWriter::new(File::create(folder.join("trace.jsonl"))?))))
     }
 
-    fn in_virtual_time(&self, day: Day) -> Result<Played, String> {
+    fn simulate(&self, day: Day) -> Result<DayResult, String> {
         let outcome = sim::run(day, self.keep.is_some())?;
-        if let Some(mut out) = self.trace().map_err(|e| e.to_string())? {
+        if let Some(mut out) = self.trace_writer().map_err(|e| e.to_string())? {
             for line in &outcome.lines {
                 writeln!(out, "{}", line.write()).map_err(|e| e.to_string())?;
             }
             out.flush().map_err(|e| e.to_string())?;
         }
         let sim::Outcome { report, phases, course, votes, .. } = outcome;
-        Ok(Played { simulated: true, report, phases, course, votes, clean: vec![], leaked: 0 })
+        Ok(DayResult { simulated: true, report, phases, course, votes, clean: vec![], leaked: 0 })
     }
 
-    fn on_sockets(&self, day: Day) -> Result<Played, String> {
+    fn run_processes(&self, day: Day) -> Result<DayResult, String> {
         let folder = match &self.keep {
             Some(folder) => folder.clone(),
             None => std::env::temp_dir().join(format!("ivydrift-day-{}", std::process::id())),
         };
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let bar = ProgressBar::new(day.lasts.as_millis() as u64);
+        let progress_bar = ProgressBar::new(day.lasts.as_millis() as u64);
         // indicatif draws nothing if there is no terminal.
         let style = "{elapsed_precise} {bar:40} {msg}";
-        bar.set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
-        let mut processes = Processes::new(&folder, day.marshals);
-        let trace = self.trace().map_err(|e| e.to_string())?;
-        let outcome = sockets::play(day, &mut processes, trace, &mut |at| {
-            bar.set_position(at.now.as_millis() as u64);
-            let s = at.standing;
-            bar.set_message(format!(
+        progress_bar
+            .set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
+        let mut processes = MarshalProcesses::new(&folder, day.marshals);
+        let trace = self.trace_writer().map_err(|e| e.to_string())?;
+        let outcome = sockets::play(day, &mut processes, trace, &mut |progress| {
+            progress_bar.set_position(progress.now.as_millis() as u64);
+            let standing = progress.standing;
+            progress_bar.set_message(format!(
                 "{} RPCs, {} in progress; build {} stage {} {:?}",
-                at.asked, at.in_hand, s.build, s.stage, s.course
+                progress.asked, progress.in_hand, standing.build, standing.stage, standing.course
             ));
         });
-        bar.finish_and_clear();
+        progress_bar.finish_and_clear();
         drop(processes);
         if self.keep.is_none() {
             let _ = std::fs::remove_dir_all(&folder);
         }
         let sockets::Outcome { report, phases, course, votes, clean, leaked } =
             outcome.map_err(|e| e.to_string())?;
-        Ok(Played { simulated: false, report, phases, course, votes, clean, leaked })
+        Ok(DayResult { simulated: false, report, phases, course, votes, clean, leaked })
     }
 }
--- a/crates/ivydrift/src/main.rs
+++ b/crates/ivydrift/src/main.rs
@@ -3,9 +3,9 @@
 
 mod audit;
 mod day;
-mod marshals;
 mod peers;
-mod table;
+mod processes;
+mod result;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -81,17 +81,17 @@
             return ExitCode::from(2);
         }
     };
-    let found = match day {
+    let checked = match day {
         true => ivydrift_standin::day::read(&name, &text).map(drop),
         false => ivydrift_terms::read(&name, &text).map(drop),
     };
-    match found {
+    match checked {
         Ok(()) => {
             println!("{name}: valid");
             ExitCode::SUCCESS
         }
-        Err(complaints) => {
-            eprintln!("{complaints}");
+        Err(errors) => {
+            eprintln!("{errors}");
             ExitCode::from(2)
         }
     }
--- a/crates/ivydrift/src/peers.rs
+++ b/crates/ivydrift/src/peers.rs
@@ -10,9 +10,9 @@
 use serde_json::{json, Value};
 
 /// Time after which an unanswered request for a page is repeated.
-const PATIENCE: Duration = Duration::from_millis(400);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of requests for a page before giving up.
-const TRIES: usize = 4;
+const MAX_REQUESTS: usize = 4;
 
 #[derive(Args)]
 pub struct PeersCommand {
@@ -25,11 +25,11 @@
 
 impl PeersCommand {
     pub fn run(self) -> ExitCode {
-        match ask(self.address) {
-            Ok((view, rows, more)) => {
+        match fetch_view(self.address) {
+            Ok((view, rows, extension)) => {
                 let text = match self.json {
-                    true => json(&view, &rows, more.as_ref()).to_string(),
-                    false => table(&view, &rows, more.as_ref()),
+                    true => to_json(&view, &rows, extension.as_ref()).to_string(),
+                    false => format_table(&view, &rows, extension.as_ref()),
                 };
                 println!("{}", text.trim_end());
                 ExitCode::SUCCESS
@@ -44,60 +44,62 @@
 
 /// Returns the head of the first page, the rows of all pages and, if the marshal sends it, the data on protocol
 /// levels and programs that follows the rows.
-fn ask(address: SocketAddr) -> io::Result<(View, Vec<Row>, Option<More>)> {
-    let any: IpAddr =
+fn fetch_view(address: SocketAddr) -> io::Result<(View, Vec<Row>, Option<More>)> {
+    let local_addr: IpAddr =
         if address.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { Ipv6Addr::UNSPECIFIED.into() };
-    let socket = UdpSocket::bind((any, 0))?;
+    let socket = UdpSocket::bind((local_addr, 0))?;
     socket.connect(address)?;
-    let (head, mut more) = page(&socket, 0)?;
+    let (head, mut extension) = fetch_page(&socket, 0)?;
     let mut rows = head.rows.clone();
     // Terminates, since the loop ends with the first page that adds no row.
     while rows.len() < usize::from(head.of) {
-        let (next, behind) = page(&socket, rows.len() as u16)?;
+        let (next, page_extension) = fetch_page(&socket, rows.len() as u16)?;
         if next.rows.is_empty() {
             break;
         }
         rows.extend(next.rows);
-        more = more.zip(behind).map(|(mut all, next)| {
+        extension = extension.zip(page_extension).map(|(mut all, next)| {
             all.rows.extend(next.rows);
             all
         });
     }
-    Ok((head, rows, more))
+    Ok((head, rows, extension))
 }
 
 /// Requests the page that starts with row `first`.
-fn page(socket: &UdpSocket, first: u16) -> io::Result<(View, Option<More>)> {
-    let silent =
+fn fetch_page(socket: &UdpSocket, first: u16) -> io::Result<(View, Option<More>)> {
+    let no_answer =
         "no answer: check that this is the marshal's own address in peers, and that its config lists peers";
-    let mut last = io::Error::new(ErrorKind::TimedOut, silent);
-    for _ in 0..TRIES {
-        let by = Instant::now() + PATIENCE;
+    let mut error = io::Error::new(ErrorKind::TimedOut, no_answer);
+    for _ in 0..MAX_REQUESTS {
+        let deadline = Instant::now() + PAGE_TIMEOUT;
         if let Err(e) = socket.send(&peer::question(first)) {
-            last = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
-            std::thread::sleep(PATIENCE / 4);
+            error = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
+            std::thread::sleep(PAGE_TIMEOUT / 4);
             continue;
         }
-        while let Some(left) = by.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
-            socket.set_read_timeout(Some(left))?;
+        while let Some(time_left) =
+            deadline.checked_duration_since(Instant::now()).filter(|time_left| !time_left.is_zero())
+        {
+            socket.set_read_timeout(Some(time_left))?;
             let mut datagram = [0; peer::DATAGRAM_BYTES + 1];
             let n = match socket.recv(&mut datagram) {
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
-                    last = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
-                    std::thread::sleep(PATIENCE / 4);
+                    error = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
+                    std::thread::sleep(PAGE_TIMEOUT / 4);
                     break;
                 }
                 Err(_) => break,
             };
-            let read = peer::read(&datagram[..n]).filter(|r| r.0 == Kind::View);
-            let view = read.and_then(|r| peer::unpack_first::<View>(r.2)).filter(|v| v.0.first == first);
+            let message = peer::read(&datagram[..n]).filter(|r| r.0 == Kind::View);
+            let view = message.and_then(|r| peer::unpack_first::<View>(r.2)).filter(|v| v.0.first == first);
             if let Some((view, rest)) = view {
                 return Ok((view, peer::unpack(rest)));
             }
         }
     }
-    Err(last)
+    Err(error)
 }
 
 fn seconds(ms: u64) -> String {
@@ -105,10 +107,11 @@
 }
 
 /// Formats the view as a table.
-fn table(view: &View, rows: &[Row], more: Option<&More>) -> String {
-    let spoken = more.map_or(String::new(), |m| {
-        let apart = if m.apart { "; a marshal without a common protocol level is present" } else { "" };
-        format!("; protocol level {}{apart}", m.level)
+fn format_table(view: &View, rows: &[Row], extension: Option<&More>) -> String {
+    let level_note = extension.map_or(String::new(), |m| {
+        let incompatible =
+            if m.apart { "; a marshal without a common protocol level is present" } else { "" };
+        format!("; protocol level {}{incompatible}", m.level)
     });
     let mut out = format!(
         "marshal {} of {}; suspicion of its own links: {} of 8; sends {:.0} bytes/s to the others{}\n\n\
@@ -117,7 +120,7 @@
         view.of,
         view.doubt,
         view.sent,
-        spoken,
+        level_note,
         "marshal",
         "state",
         "since s",
@@ -131,23 +134,23 @@
         "life",
     );
     for (i, row) in rows.iter().enumerate() {
-        let none = || "-".to_owned();
-        let [zone, region, rate, nodes, told] = match &row.about {
-            None => [none(), none(), none(), none(), none()],
-            Some((a, age)) => [
-                a.zone.to_string(),
-                a.region.to_string(),
-                format!("{:.1}", a.rate),
-                a.ready.to_string(),
+        let missing = || "-".to_owned();
+        let [zone, region, rate, nodes, age] = match &row.about {
+            None => [missing(), missing(), missing(), missing(), missing()],
+            Some((about, age)) => [
+                about.zone.to_string(),
+                about.region.to_string(),
+                format!("{:.1}", about.rate),
+                about.ready.to_string(),
                 seconds(*age),
             ],
         };
-        let (since, heard) = (seconds(row.since), row.heard.map_or_else(none, seconds));
+        let (since, heard) = (seconds(row.since), row.heard.map_or_else(missing, seconds));
         out += &format!(
-            "{:>7}  {:<8} {since:>8} {heard:>9} {zone:>6} {region:>7} {rate:>9} {nodes:>6} {told:>8}  {:<14} {}\n",
+            "{:>7}  {:<8} {since:>8} {heard:>9} {zone:>6} {region:>7} {rate:>9} {nodes:>6} {age:>8}  {:<14} {}\n",
             row.number,
             row.state,
-            said(more, i).map_or("-", |s| &s.1),
+            reported(extension, i).map_or("-", |s| &s.1),
             row.life
         );
     }
@@ -155,23 +158,23 @@
 }
 
 /// Returns the protocol level and the program that the marshal of this row reports.
-fn said(more: Option<&More>, row: usize) -> Option<&(u8, String)> {
-    more?.rows.get(row)?.as_ref()
+fn reported(extension: Option<&More>, row: usize) -> Option<&(u8, String)> {
+    extension?.rows.get(row)?.as_ref()
 }
 
-fn json(view: &View, rows: &[Row], more: Option<&More>) -> Value {
+fn to_json(view: &View, rows: &[Row], extension: Option<&More>) -> Value {
     let row = |(i, r): (usize, &Row)| {
         json!({
-            "speaks": said(more, i).map_or(0, |s| s.0), "program": said(more, i).map(|s| &s.1),
+            "speaks": reported(extension, i).map_or(0, |s| s.0), "program": reported(extension, i).map(|s| &s.1),
             "marshal": r.number, "state": r.state, "life": r.life, "since_ms": r.since, "heard_ms": r.heard,
-            "about": r.about.as_ref().map(|(a, age)| json!({
-                "zone": a.zone, "region": a.region, "rate": a.rate, "ready": a.ready, "age_ms": age,
+            "about": r.about.as_ref().map(|(about, age)| json!({
+                "zone": about.zone, "region": about.region, "rate": about.rate, "ready": about.ready, "age_ms": age,
             })),
         })
     };
     let members: Vec<Value> = rows.iter().enumerate().map(row).collect();
     json!({
         "marshal": view.number, "of": view.of, "doubt": view.doubt, "sent_bytes_a_second": view.sent,
-        "level": more.map_or(0, |m| m.level), "apart": more.is_some_and(|m| m.apart), "members": members,
+        "level": extension.map_or(0, |m| m.level), "apart": extension.is_some_and(|m| m.apart), "members": members,
     })
 }
--- a/crates/ivydrift/src/marshals.rs
+++ b/crates/ivydrift/src/processes.rs
@@ -11,14 +11,14 @@
 use nix::unistd::Pid;
 
 /// The marshals of a day, each a child process with a config file and a log in `folder`.
-pub struct Processes {
+pub struct MarshalProcesses {
     folder: PathBuf,
     children: Vec<Option<Child>>,
 }
 
-impl Processes {
+impl MarshalProcesses {
     pub fn new(folder: &Path, marshals: usize) -> Self {
-        Processes { folder: folder.to_owned(), children: (0..marshals).map(|_| None).collect() }
+        MarshalProcesses { folder: folder.to_owned(), children: (0..marshals).map(|_| None).collect() }
     }
 
     fn signal(&self, marshal: usize, signal: Signal) {
@@ -28,17 +28,17 @@
     }
 }
 
-impl Marshals for Processes {
-    fn start(&mut self, marshal: usize, terms: &str) -> io::Result<()> {
-        let file = self.folder.join(format!("edge-{marshal}.hcl"));
-        std::fs::write(&file, terms)?;
+impl Marshals for MarshalProcesses {
+    fn start(&mut self, marshal: usize, config: &str) -> io::Result<()> {
+        let config_path = self.folder.join(format!("edge-{marshal}.hcl"));
+        std::fs::write(&config_path, config)?;
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.folder.join(format!("edge-{marshal}.log")))?;
         let child = Command::new(std::env::current_exe()?)
             .arg("edge")
-            .arg(&file)
+            .arg(&config_path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -54,15 +54,15 @@
         }
     }
 
-    fn stop(&mut self, marshal: usize, still: bool) {
-        self.signal(marshal, if still { Signal::SIGSTOP } else { Signal::SIGCONT });
+    fn stop(&mut self, marshal: usize, suspend: bool) {
+        self.signal(marshal, if suspend { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
 
     fn end(&mut self, marshal: usize) -> bool {
         self.signal(marshal, Signal::SIGTERM);
         let Some(mut child) = self.children[marshal].take() else { return false };
-        let by = Instant::now() + Duration::from_secs(8);
-        while Instant::now() < by {
+        let deadline = Instant::now() + Duration::from_secs(8);
+        while Instant::now() < deadline {
             match child.try_wait() {
                 Ok(Some(status)) => return status.success(),
                 Ok(None) => std::thread::sleep(Duration::from_millis(10)),
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Processes {
+impl Drop for MarshalProcesses {
     fn drop(&mut self) {
         // SIGKILL also ends a process that is stopped by SIGSTOP. No marshal may outlive the day.
         (0..self.children.len()).for_each(|m| self.kill(m));
--- a/crates/ivydrift/src/table.rs
+++ b/crates/ivydrift/src/result.rs
@@ -10,21 +10,21 @@
 use serde_json::{json, Value};
 
 /// The rollout's states over time, as the rollout controller recorded them.
-pub type Standings = Vec<(Duration, ivydrift_standin::Standing)>;
+pub type RolloutHistory = Vec<(Duration, ivydrift_standin::Standing)>;
 
 /// The result of a day, or of an audit alone.
-pub struct Played {
+pub struct DayResult {
     pub simulated: bool,
     pub report: Report,
     pub phases: Vec<Phase>,
-    pub course: Standings,
+    pub course: RolloutHistory,
     pub votes: u64,
     pub clean: Vec<bool>,
     pub leaked: usize,
 }
 
 /// Formats a rollout state in a few words.
-fn stands(s: &ivydrift_standin::Standing) -> String {
+fn describe(s: &ivydrift_standin::Standing) -> String {
     let word = match s.course {
         Course::OnTrial => "trial",
         Course::GoingBack => "going back",
@@ -39,9 +39,9 @@
     (span.as_secs_f64() * 10_000.0).round() / 10.0
 }
 
-impl Played {
+impl DayResult {
     /// Returns true if every rule was kept, every marshal shut down cleanly and no connection leaked.
-    pub fn fine(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.report.kept() && self.clean.iter().all(|&c| c) && self.leaked == 0
     }
 
@@ -64,25 +64,25 @@
             "on/hold/back",
             "build, stage"
         );
-        for p in &self.phases {
-            let answered = (p.ok + p.pushed_back + p.aborted).max(1);
+        for phase in &self.phases {
+            let answered = (phase.ok + phase.pushed_back + phase.aborted).max(1);
             let _ = writeln!(
                 out,
                 "{:>5.1}-{:>5.1}  {:>6} {:>6} {:>5} {:>6} {:>6} {:>5} {:>8.1} {:>8.1} {:>5.2} {:>12} {:<18} {}",
-                p.from.as_secs_f64(),
-                p.to.as_secs_f64(),
-                p.asked,
-                p.ok,
-                p.late,
-                p.pushed_back,
-                p.aborted,
-                p.none,
-                ms(p.quantile(0.5)),
-                ms(p.quantile(0.99)),
-                p.picks as f64 / answered as f64,
-                p.votes.map(|n| n.to_string()).join("/"),
-                p.stands(&self.course).map(stands).unwrap_or_default(),
-                p.label
+                phase.from.as_secs_f64(),
+                phase.to.as_secs_f64(),
+                phase.asked,
+                phase.ok,
+                phase.late,
+                phase.pushed_back,
+                phase.aborted,
+                phase.none,
+                ms(phase.quantile(0.5)),
+                ms(phase.quantile(0.99)),
+                phase.picks as f64 / answered as f64,
+                phase.votes.map(|n| n.to_string()).join("/"),
+                phase.stands(&self.course).map(describe).unwrap_or_default(),
+                phase.label
             );
         }
         let _ = writeln!(
@@ -117,53 +117,71 @@
 
     /// Formats the outcomes of all attempts, a line for each rule, and the first violations.
     pub fn rules(&self) -> String {
-        let (mut out, r) = (String::new(), &self.report);
+        let (mut out, report) = (String::new(), &self.report);
         let _ = writeln!(
             out,
             "\n{} attempts: {} ok, {} pushed back, {} aborted, {} abandoned by the client, {} lost while their marshal was unavailable\n",
-            r.asked, r.ok, r.pushed_back, r.aborted, r.left, r.excused
+            report.asked, report.ok, report.pushed_back, report.aborted, report.left, report.excused
         );
         for (i, rule) in RULES.iter().enumerate() {
-            let verdict = if r.broken[i] == 0 { "kept" } else { "BROKEN" };
-            let near = if r.nearest[i] > 0.0 {
-                format!(", nearest {:.2} of the limit", r.nearest[i])
+            let verdict = if report.broken[i] == 0 { "kept" } else { "BROKEN" };
+            let nearest = if report.nearest[i] > 0.0 {
+                format!(", nearest {:.2} of the limit", report.nearest[i])
             } else {
                 String::new()
             };
-            let times = if r.broken[i] > 0 { format!(" {} times", r.broken[i]) } else { String::new() };
-            let _ = writeln!(out, "rule {rule}: {verdict}{times} ({} checked{near})", r.checked[i]);
+            let times =
+                if report.broken[i] > 0 { format!(" {} times", report.broken[i]) } else { String::new() };
+            let _ = writeln!(out, "rule {rule}: {verdict}{times} ({} checked{nearest})", report.checked[i]);
         }
-        for b in r.breaches.iter().take(10) {
-            let _ = writeln!(out, "  {:>8.3} s, line {}: {}", b.t as f64 / 1e6, b.line, b.what);
+        for breach in report.breaches.iter().take(10) {
+            let _ =
+                writeln!(out, "  {:>8.3} s, line {}: {}", breach.t as f64 / 1e6, breach.line, breach.what);
         }
         out
     }
 
     /// Formats the result as a JSON object.
     pub fn json(&self) -> Value {
-        let phase = |p: &Phase| {
+        let phase_json = |phase: &Phase| {
             json!({
-                "from_s": p.from.as_secs_f64(), "to_s": p.to.as_secs_f64(), "troubles": p.label, "rpcs": p.asked,
-                "ok": p.ok, "late": p.late, "pushed_back": p.pushed_back, "aborted": p.aborted, "none": p.none,
-                "p50_ms": ms(p.quantile(0.5)), "p99_ms": ms(p.quantile(0.99)), "picks": p.picks,
-                "votes": { "on": p.votes[0], "hold": p.votes[1], "back": p.votes[2] },
-                "stands": p.stands(&self.course).map(|s| json!({ "build": s.build, "stage": s.stage, "course": s.course })),
+                "from_s": phase.from.as_secs_f64(), "to_s": phase.to.as_secs_f64(), "troubles": phase.label,
+                "rpcs": phase.asked, "ok": phase.ok, "late": phase.late, "pushed_back": phase.pushed_back,
+                "aborted": phase.aborted, "none": phase.none,
+                "p50_ms": ms(phase.quantile(0.5)), "p99_ms": ms(phase.quantile(0.99)), "picks": phase.picks,
+                "votes": { "on": phase.votes[0], "hold": phase.votes[1], "back": phase.votes[2] },
+                "stands": phase.stands(&self.course).map(|s| json!({
+                    "build": s.build, "stage": s.stage, "course": s.course,
+                })),
+            })
+        };
+        let standing_json = |(t, s): &(Duration, ivydrift_standin::Standing)| {
+            json!({
+                "t_s": t.as_secs_f64(), "build": s.build, "stage": s.stage, "course": s.course, "cap": s.cap,
+            })
+        };
+        let report = &self.report;
+        let rule_json = |i: usize| {
+            json!({
+                "rule": RULES[i], "checked": report.checked[i], "broken": report.broken[i],
+                "nearest": report.nearest[i],
+            })
+        };
+        let breach_json = |breach: &ivydrift_audit::Breach| {
+            json!({
+                "t_us": breach.t, "line": breach.line, "rule": RULES[breach.rule], "what": breach.what,
             })
         };
-        let stand = |(t, s): &(Duration, ivydrift_standin::Standing)| json!({ "t_s": t.as_secs_f64(), "build": s.build, "stage": s.stage, "course": s.course, "cap": s.cap });
-        let r = &self.report;
-        let rule = |i: usize| json!({ "rule": RULES[i], "checked": r.checked[i], "broken": r.broken[i], "nearest": r.nearest[i] });
-        let breach = |b: &ivydrift_audit::Breach| json!({ "t_us": b.t, "line": b.line, "rule": RULES[b.rule], "what": b.what });
         json!({
-            "fine": self.fine(),
+            "fine": self.passed(),
             "simulated": self.simulated,
-            "phases": self.phases.iter().map(phase).collect::<Vec<_>>(),
-            "course": self.course.iter().map(stand).collect::<Vec<_>>(),
+            "phases": self.phases.iter().map(phase_json).collect::<Vec<_>>(),
+            "course": self.course.iter().map(standing_json).collect::<Vec<_>>(),
             "votes": self.votes,
-            "tries": r.asked, "ok": r.ok, "pushed_back": r.pushed_back, "aborted": r.aborted, "left": r.left,
-            "excused": r.excused,
-            "rules": (0..RULES.len()).map(rule).collect::<Vec<_>>(),
-            "breaches": r.breaches.iter().map(breach).collect::<Vec<_>>(),
+            "tries": report.asked, "ok": report.ok, "pushed_back": report.pushed_back, "aborted": report.aborted,
+            "left": report.left, "excused": report.excused,
+            "rules": (0..RULES.len()).map(rule_json).collect::<Vec<_>>(),
+            "breaches": report.breaches.iter().map(breach_json).collect::<Vec<_>>(),
             "clean": self.clean,
             "leaked": self.leaked,
         })
