--- a/crates/edge/tests/hard/main.rs
+++ b/crates/edge/tests/hard/main.rs
@@ -1,4 +1,5 @@
-//! Hard cases on real sockets: what clients, nodes and the machine do to a marshal.
+//! Failure cases on real sockets: misbehaving clients, nodes and discovery, and limits and stalls of the
+//! machine.
 
 mod bodies;
 mod clients;
--- a/crates/edge/tests/hard/platform_scene.rs
+++ b/crates/edge/tests/hard/platform_scene.rs
@@ -1,4 +1,4 @@
-//! The operators' platform among scripted neighbours, for the tests of the second dialect.
+//! A marshal on the operators' platform with scripted discovery and rollout controller: the second dialect.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -9,16 +9,20 @@
 use crate::process::Process;
 use crate::scene::*;
 
+/// The config file of the platform's tests.
 pub const FILE: &str = include_str!("../../../platform/tests/start.json");
 
-/// Members and a desk for these nodes. Watches are held; the desk says `lines` to who follows, then stays.
+/// A scripted discovery and rollout controller.
 pub struct Platform {
     pub members: Node,
     pub desk: SocketAddr,
+    /// How often a marshal has subscribed to the rollout controller.
     pub follows: Arc<AtomicUsize>,
+    /// The votes as received.
     pub votes: Arc<Mutex<Vec<String>>>,
 }
 
+/// A complete member list with these nodes and builds, in discovery's format.
 pub fn listed(nodes: &[(SocketAddr, u32)]) -> String {
     let one = |(i, (addr, build)): (usize, &(SocketAddr, u32))| {
         format!(
@@ -30,6 +34,8 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{members}]}}"#)
 }
 
+/// Starts a platform. Discovery holds watches; the rollout controller sends `lines` to its first subscriber,
+/// then only keep-alives.
 pub fn platform(nodes: &[(SocketAddr, u32)], lines: &'static [&'static str]) -> Platform {
     let list = listed(nodes);
     let members = node_of(move |message, stream| {
@@ -62,7 +68,7 @@
     Platform { members, desk: desk.addr, follows, votes }
 }
 
-/// A node that looks at each message.
+/// A server whose script gets each message; false closes the connection.
 pub fn node_of(script: impl Fn(&str, &mut TcpStream) -> bool + Send + Sync + 'static) -> Node {
     raw(move |stream| {
         while let Some(message) = read_message(stream) {
@@ -73,6 +79,7 @@
     })
 }
 
+/// The config file of a marshal on this platform.
 pub fn file(listen: SocketAddr, p: &Platform) -> String {
     FILE.replace("10.0.0.4:5000", &listen.to_string())
         .replace("10.2.0.1:8500", &p.members.addr.to_string())
@@ -86,17 +93,20 @@
         .replace("\"sockets\": 1024", "\"sockets\": 256")
 }
 
+/// A marshal in this process with its scripted platform.
 pub struct Stage {
     pub running: ivydrift_edge::Running,
     pub platform: Platform,
 }
 
 impl Stage {
+    /// Starts a marshal; all nodes run build 1.
     pub fn new(nodes: &[SocketAddr]) -> Self {
         let nodes: Vec<(SocketAddr, u32)> = nodes.iter().map(|n| (*n, 1)).collect();
         Self::with(&nodes, &[])
     }
 
+    /// Starts a marshal. `lines`: see [`platform`].
     pub fn with(nodes: &[(SocketAddr, u32)], lines: &'static [&'static str]) -> Self {
         let platform = platform(nodes, lines);
         let text = file("127.0.0.1:0".parse().unwrap(), &platform);
@@ -106,10 +116,12 @@
         Stage { running, platform }
     }
 
+    /// Opens a client connection to the marshal.
     pub fn connect(&self) -> TcpStream {
         connect(self.running.listens)
     }
 
+    /// Sends one message on a new connection and returns its answer.
     pub fn ask(&self, text: &str) -> Answer {
         let mut stream = self.connect();
         say(&mut stream, text);
@@ -117,10 +129,12 @@
     }
 }
 
+/// An idempotent RPC.
 pub fn read(id: &str) -> String {
     format!("GET /calendar-read HTTP/1.1\r\nHost: b\r\nX-Request-ID: {id}\r\nX-Timeout-Ms: 2000\r\n\r\n")
 }
 
+/// A non-idempotent RPC.
 pub fn book(id: &str) -> String {
     format!(
         "POST /pickup-book/7?x=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: {id}\r\nX-Tenant-Id: wadi-tri\r\n\
@@ -129,6 +143,7 @@
 }
 
 impl Process {
+    /// Starts a marshal process on this platform and waits until it reports ready.
     pub fn on_platform(name: &str, platform: &Platform) -> Self {
         let listens = free();
         let folder = tempfile::tempdir().unwrap();
@@ -147,6 +162,7 @@
         process
     }
 
+    /// Sends one message on a new connection and returns the status of its answer.
     pub fn ask(&self, text: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.listens).ok()?;
         stream.set_read_timeout(Some(ms(4000))).ok()?;
--- a/crates/edge/tests/hard/process.rs
+++ b/crates/edge/tests/hard/process.rs
@@ -1,15 +1,18 @@
+//! A marshal that runs as a child process.
+
 use std::net::SocketAddr;
 use std::process::Child;
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-/// A marshal as a process, ended with the test.
+/// A marshal process, killed when the test ends.
 pub struct Process {
     pub child: Child,
     pub listens: SocketAddr,
+    /// Its config file.
     pub file: std::path::PathBuf,
-    /// Where the file is; gone with the test.
+    /// The directory of the config file, removed when the test ends.
     pub _folder: tempfile::TempDir,
 }
 
--- a/crates/edge/tests/hard/scene.rs
+++ b/crates/edge/tests/hard/scene.rs
@@ -1,5 +1,5 @@
-//! A marshal among scripted neighbours: node list, desk and nodes on threads of the standard library, which say
-//! exactly what a test wants on their sockets.
+//! A marshal with a scripted node list, rollout controller and nodes. They run on threads of the standard
+//! library and send exactly what a test wants on their sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,17 +7,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a node does with the nth message on all its connections; false closes the connection.
+/// Handles the nth message that a node received, counted over all its connections; false closes the
+/// connection.
 pub type Script = Box<dyn Fn(usize, &mut TcpStream) -> bool + Send + Sync>;
 
+/// A scripted server, in most tests a node.
 pub struct Node {
     pub addr: SocketAddr,
-    /// Every message as it came, and how many connections.
+    /// Every message as received.
     pub seen: Arc<Mutex<Vec<String>>>,
+    /// How many connections were accepted.
     pub connections: Arc<Mutex<usize>>,
 }
 
 impl Node {
+    /// Number of messages received.
     pub fn messages(&self) -> usize {
         self.seen.lock().unwrap().len()
     }
@@ -27,7 +31,7 @@
     Duration::from_millis(n)
 }
 
-/// Reads one message by its Content-Length; none at the end of the stream.
+/// Reads one message, framed by its Content-Length; `None` if the stream ends first.
 pub fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") {
@@ -45,6 +49,7 @@
     Some(String::from_utf8_lossy(&text).into_owned())
 }
 
+/// A server that passes each message to the script; false closes the connection.
 fn serve(script: impl Fn(&mut TcpStream, String) -> bool + Send + Sync + 'static) -> Node {
     raw(move |stream| {
         while let Some(message) = read_message(stream) {
@@ -55,14 +60,17 @@
     })
 }
 
+/// Writes the text; false if the connection has failed.
 pub fn say(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(text.as_bytes()).is_ok()
 }
 
+/// Writes a 200 answer with this body.
 pub fn ok(stream: &mut TcpStream, body: &str) -> bool {
     say(stream, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
+/// A node that follows the script and records its messages.
 pub fn node(script: Script) -> Node {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let log = seen.clone();
@@ -77,7 +85,7 @@
     Node { seen, ..served }
 }
 
-/// A node that reads its connections itself, as far as it likes.
+/// A node whose script reads from each connection itself.
 pub fn raw(script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Node {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (addr, connections) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(0)));
@@ -93,27 +101,27 @@
     Node { addr, seen: Arc::default(), connections }
 }
 
-/// A node that answers each RPC with its name.
+/// A node that answers each RPC with 200 and its name as the body.
 pub fn good(name: &'static str) -> Node {
     node(Box::new(move |_, stream| ok(stream, name)))
 }
 
-/// An address where nobody listens, for somebody who will.
+/// An unused address for a process to listen on.
 pub fn free() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// An address where nobody listens and nobody can: another test may be given one that is merely free.
+/// An address where nothing listens or can start to: a merely unused one may be given to another test.
 pub fn nobody() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
-    // Held until the process ends.
+    // Keeps the address bound until the process ends.
     std::mem::forget(socket);
     addr
 }
 
-/// Whether the far side closes within the time.
+/// Whether the peer closes the connection within this time.
 pub fn closes(stream: &mut TcpStream, within: Duration) -> bool {
     stream.set_read_timeout(Some(within)).unwrap();
     let mut byte = [0];
@@ -128,6 +136,7 @@
     }
 }
 
+/// The node list with these nodes, in discovery's format.
 fn list_of(nodes: &[SocketAddr]) -> String {
     let entry = |a: &SocketAddr| {
         format!(
@@ -139,13 +148,15 @@
     format!("[{}]", nodes.iter().map(entry).collect::<Vec<_>>().join(","))
 }
 
-/// Node list and desk for these nodes, as the places of a marshal's terms.
+/// A scripted node list and rollout controller.
 pub struct Town {
     pub list: SocketAddr,
     pub desk: SocketAddr,
+    /// While false, the node list closes each connection that asks it.
     pub list_up: Arc<AtomicBool>,
 }
 
+/// Starts a node list with these nodes, and a rollout controller that has released build 1.
 pub fn town(nodes: &[SocketAddr]) -> Town {
     let (body, list_up) = (list_of(nodes), Arc::new(AtomicBool::new(true)));
     let up = list_up.clone();
@@ -172,7 +183,7 @@
     Town { list: list.addr, desk: desk.addr, list_up }
 }
 
-/// Terms for a marshal in this town, the example's with some words replaced.
+/// The config of a marshal with this node list and rollout controller: the example with some texts replaced.
 pub fn terms(town: &Town, replace: &[(&str, &str)]) -> String {
     let mut text = ivydrift_terms::EXAMPLE
         .replace("127.0.0.1:7100", "127.0.0.1:0")
@@ -185,17 +196,19 @@
     text
 }
 
+/// A marshal in this process with its scripted node list and rollout controller.
 pub struct Scene {
     pub running: ivydrift_edge::Running,
     _town: Town,
 }
 
 impl Scene {
+    /// Starts a marshal with the example config.
     pub fn new(nodes: &[SocketAddr]) -> Self {
         Self::with(nodes, "")
     }
 
-    /// `more`: further blocks of the terms.
+    /// Starts a marshal. `more`: further blocks of the config.
     pub fn with(nodes: &[SocketAddr], more: &str) -> Self {
         let town = town(nodes);
         let text = terms(&town, &[]) + more;
@@ -204,11 +217,12 @@
         Scene { running, _town: town }
     }
 
+    /// Opens a client connection to the marshal.
     pub fn connect(&self) -> TcpStream {
         connect(self.running.listens)
     }
 
-    /// One RPC on a connection of its own.
+    /// Sends one RPC on a new connection and returns its answer.
     pub fn rpc(&self, method: &str, fields: &str, body: &str) -> Answer {
         let mut stream = self.connect();
         say(&mut stream, &message(method, fields, body));
@@ -216,16 +230,19 @@
     }
 }
 
+/// Opens a connection with a read time-out of 5 s.
 pub fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).unwrap();
     stream.set_read_timeout(Some(ms(5000))).unwrap();
     stream
 }
 
+/// An RPC as it goes on the wire. `fields`: further header lines, each with its line end.
 pub fn message(method: &str, fields: &str, body: &str) -> String {
     format!("POST /{method} HTTP/1.1\r\nHost: m\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -234,17 +251,20 @@
 }
 
 impl Answer {
+    /// The value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
             .find_map(|l| l.split_once(": ").filter(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1))
     }
+
+    /// `ok`, `pushed-back` or `aborted`; empty if the field is missing.
     pub fn kind(&self) -> &str {
         self.field("ivydrift-answer").unwrap_or("")
     }
 }
 
-/// The next answer, by its Content-Length; none where the stream ends first.
+/// Reads the next answer, framed by its Content-Length; `None` if the stream ends first.
 pub fn answer(stream: &mut TcpStream) -> Option<Answer> {
     let text = read_message(stream)?;
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -252,6 +272,7 @@
     Some(Answer { status, head: head.to_owned(), body: body.to_owned() })
 }
 
+/// Waits until the condition holds; panics if it does not within this time.
 pub fn wait_for(what: &str, within: Duration, done: impl Fn() -> bool) {
     let by = Instant::now() + within;
     while !done() {
--- a/crates/edge/tests/soak/clients.rs
+++ b/crates/edge/tests/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that keep their connections, leave early now and then, and note what came of each request.
+//! Simulated clients that reuse connections, sometimes disconnect early, and record the outcome of each
+//! request.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -9,30 +10,35 @@
 use crate::net;
 use crate::random::Random;
 
-/// How long a client waits.
+/// Deadline that a client sends with each request.
 const WAITS: Duration = Duration::from_millis(1200);
-/// An answer is late only after this much more.
+/// An answer counts as late only this long after the deadline.
 const LATE: Duration = Duration::from_millis(500);
-/// Machines that run tests are busy: so much is not held against a marshal.
+/// Extra allowance because machines that run tests are busy.
 const NOISE: Duration = Duration::from_millis(400);
 
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
+    /// 200 with the request's own id.
     Served,
+    /// 503 or 429.
     Refused,
+    /// Any other status.
     Failed,
-    /// The client closed before the answer came.
+    /// The client disconnected before the answer.
     Left,
-    /// Closed or reset with no answer, on a new connection.
+    /// A new connection was closed or reset without an answer.
     Closed,
-    /// Nothing in time.
+    /// No answer in time.
     Silent,
-    /// Served with what no node said.
+    /// 200 with a body that no node sent for this request.
     Wrong(String),
-    /// Nobody listens there.
+    /// The marshal does not accept connections.
     Unreachable,
 }
 
+/// A finished request as its client saw it.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub marshal: usize,
@@ -42,7 +48,7 @@
     pub outcome: Outcome,
 }
 
-/// Asks one marshal, again and again, until the end.
+/// Sends requests to one marshal until `over` is set, and records each of them.
 pub fn ask(
     marshal: usize, client: usize, to: SocketAddr, seed: u64, over: &AtomicBool,
     record: &Arc<Mutex<Vec<Request>>>,
@@ -62,7 +68,8 @@
             Some(stream) => exchange(stream, &text, &id, leaves, &mut kept),
             None => Outcome::Closed,
         };
-        // A close may cross a request on a connection that rested: it is sent once more, on a new one.
+        // The marshal may close an idle connection just as a request is sent on it: the client retries once
+        // on a new connection.
         if outcome == Outcome::Closed {
             outcome = match TcpStream::connect_timeout(&to, WAITS) {
                 Ok(stream) => exchange(stream, &text, &id, leaves, &mut kept),
@@ -74,6 +81,7 @@
     }
 }
 
+/// A request as it goes on the wire.
 fn text(id: &str, must_not_repeat: bool) -> String {
     let waits = WAITS.as_millis();
     let fields = format!("Host: b\r\nX-Request-ID: {id}\r\nX-Timeout-Ms: {waits}\r\n");
@@ -84,6 +92,8 @@
     }
 }
 
+/// Sends a request and waits for its answer. `leaves`: disconnects after this time instead. The connection
+/// goes to `kept` if it stays open.
 fn exchange(
     mut stream: TcpStream, text: &str, id: &str, leaves: Option<Duration>, kept: &mut Option<TcpStream>,
 ) -> Outcome {
--- a/crates/edge/tests/soak/faults.rs
+++ b/crates/edge/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed, which begin and end by themselves and overlap.
+//! Faults generated from a seed: each has its own start and end, and they overlap.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -8,28 +8,41 @@
 use crate::random::Random;
 use crate::truth::Phase;
 
-/// Something that begins or ends now.
+/// The start or end of a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
+    /// A node changes its phase in discovery.
     Phase(usize, Phase),
+    /// A node starts to misbehave, or stops (index 0).
     Trouble(usize, TroubleNumber),
+    /// Discovery fails.
     Outage { resets: bool },
+    /// Discovery works again.
     Back,
+    /// Calls to discovery queue, with this service time in milliseconds.
     Turn(u64),
+    /// Discovery refuses this many calls that open a watch.
     Busy(u64),
+    /// This many watches go silent.
     Silence(u64),
+    /// This many answers of discovery are truncated.
     Break(u64),
+    /// A marshal reloads its config. `moves`: discovery is at its other address.
     Reload { marshal: usize, moves: bool },
+    /// A marshal is killed.
     Kill(usize),
+    /// A marshal is stopped with SIGTERM and started again.
     Stop(usize),
+    /// A marshal that was killed is started again.
     Start(usize),
+    /// A marshal is suspended for this time.
     Stall(usize, Duration),
 }
 
 /// Index into [`TROUBLES`].
 pub type TroubleNumber = usize;
 
-/// The steps of a run, in their order.
+/// The steps of a run with their times, in order.
 pub fn plan(random: &mut Random, span: Duration, marshals: usize, nodes: usize) -> Vec<(Duration, Step)> {
     let mut steps = Vec::new();
     let mut at = Duration::from_millis(1500);
@@ -41,6 +54,7 @@
     steps
 }
 
+/// Generates one fault that starts at this time.
 fn draw(random: &mut Random, at: Duration, marshals: usize, nodes: usize, steps: &mut Vec<(Duration, Step)>) {
     let node = random.below(nodes);
     let marshal = random.below(marshals);
@@ -60,7 +74,7 @@
             steps.push((at + random.millis(500, 9000), Step::Back));
         }
         5 => {
-            // Slow enough that a fleet which asks at once is queued, for 5 s at the most.
+            // Slow enough that calls queue if the whole fleet calls at once, for 5 s at most.
             let slowest = 5000 / marshals as u64;
             steps.push((at, Step::Turn(random.millis(slowest / 4, slowest).as_millis() as u64)));
             steps.push((at + random.millis(2000, 12_000), Step::Turn(0)));
@@ -87,7 +101,7 @@
     }
 }
 
-/// Carries the steps out at their times.
+/// Runs the steps at their times.
 pub fn play(fleet: &mut Fleet, steps: Vec<(Duration, Step)>) {
     let begun = Instant::now();
     for (at, step) in steps {
--- a/crates/edge/tests/soak/fleet.rs
+++ b/crates/edge/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real marshals on loopback among scripted nodes, discovery and clients.
+//! A fleet of real marshals on loopback with simulated nodes, discovery and clients.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -14,10 +14,11 @@
 use crate::nodes::{Arrivals, Node};
 use crate::truth::{Phase, Truth};
 
-/// Nodes that stay active whatever is drawn.
+/// Minimum number of active nodes; no fault goes below it.
 const LEAST_ACTIVE: usize = 4;
 const CLIENTS_PER_MARSHAL: usize = 2;
 
+/// Everything that takes part in a run, and what was recorded.
 pub struct Fleet {
     pub truth: Arc<Mutex<Truth>>,
     pub arrivals: Arc<Mutex<Arrivals>>,
@@ -30,7 +31,7 @@
     _folder: tempfile::TempDir,
 }
 
-/// A release desk that says one thing, and that it lives.
+/// A rollout controller that sends one rollout state and then keep-alives every 700 ms.
 fn desk() -> SocketAddr {
     net::listen(|stream| {
         let mut first = [0; 64];
@@ -47,13 +48,14 @@
 }
 
 impl Fleet {
+    /// Starts nodes, discovery, marshals and clients.
     pub fn new(marshals: usize, nodes: usize, seed: u64, faults: Option<MachineFaults>) -> Self {
         let arrivals = Arc::<Mutex<Arrivals>>::default();
         let nodes: Vec<Node> = (0..nodes).map(|number| Node::new(number, &arrivals)).collect();
         let truth = Arc::new(Mutex::new(Truth::new(nodes.iter().map(|node| node.addr).collect())));
         let (discovery, desk) = (Discovery::new(&truth), desk());
         let folder = tempfile::tempdir().unwrap();
-        // Every second marshal runs on a machine that fails now and then.
+        // Every second marshal runs with fault injection in its system calls.
         let faults_of = |number: usize| faults.clone().filter(|_| number % 2 == 1);
         let marshal = |number| Marshal::new(number, folder.path().to_owned(), desk, faults_of(number));
         let mut fleet = Fleet {
@@ -76,7 +78,7 @@
         self.marshals[marshal].start(&self.discovery, &self.truth);
     }
 
-    /// A node changes, unless too few would be left.
+    /// Changes a node's phase, unless the change is not possible now or would leave too few active nodes.
     pub fn turn(&mut self, node: usize, phase: Phase) {
         let mut truth = self.truth.lock().unwrap();
         let active = (0..self.nodes.len()).filter(|n| truth.phase(*n) == Phase::Active).count();
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Ends the clients, then the marshals: what each of them is found to have done wrong is in their logs by then.
+    /// Stops the clients, then records the end of the marshals: by then their logs contain every violation.
     pub fn end(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| client.join().unwrap());
--- a/crates/edge/tests/soak/marshals.rs
+++ b/crates/edge/tests/soak/marshals.rs
@@ -1,4 +1,4 @@
-//! Marshals as real processes: their files, starts, signals and ends.
+//! Marshals as real processes: config files, starts, signals and stops.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -12,31 +12,34 @@
 use crate::discovery::Discovery;
 use crate::truth::Truth;
 
+/// The config file of the platform's tests, adapted for each marshal.
 const FILE: &str = include_str!("../../../platform/tests/start.json");
 
-/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline and 0.7 s.
+/// SIGKILL follows SIGTERM after this time at the earliest: the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
-/// The library of machine faults, and how many calls in 1000 it hits.
+/// The fault injection library, and how many system calls in 1000 it makes fail.
 #[derive(Clone)]
 pub struct MachineFaults {
     pub library: PathBuf,
     pub per_mille: u32,
 }
 
+/// A marshal process, or its config while it is not running.
 pub struct Marshal {
     pub number: usize,
     pub listens: SocketAddr,
     child: Option<Child>,
     folder: PathBuf,
     desk: SocketAddr,
+    /// Index into [`Discovery::places`].
     place: usize,
     faults: Option<MachineFaults>,
     starts: usize,
     started: Instant,
 }
 
-/// SIGHUP comes no sooner after a start.
+/// No SIGHUP is sent earlier than this after a start.
 const FIRST_RELOAD: Duration = Duration::from_millis(1500);
 
 impl Marshal {
@@ -63,6 +66,7 @@
         self.folder.join(format!("marshal-{}.log", self.number))
     }
 
+    /// Writes the config file, with the nodes that discovery last wrote to this marshal.
     fn write_file(&self, discovery: &Discovery, truth: &Truth) {
         let mut top: serde_json::Value = serde_json::from_str(FILE).unwrap();
         top["name"] = format!("n{}", self.number).into();
@@ -79,6 +83,7 @@
         std::fs::write(self.file(), top.to_string()).unwrap();
     }
 
+    /// Starts the process unless it is running.
     pub fn start(&mut self, discovery: &Discovery, truth: &Arc<Mutex<Truth>>) {
         if self.child.is_some() {
             return;
@@ -87,7 +92,7 @@
         self.starts += 1;
         self.started = Instant::now();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log()).unwrap();
-        // Another build of the program may be judged by the same rules.
+        // The same rules can be checked on another build of the program.
         let program =
             std::env::var("SOAK_PROGRAM").unwrap_or_else(|_| env!("CARGO_BIN_EXE_ivydrift-edge").to_owned());
         let mut command = Command::new(program);
@@ -107,7 +112,7 @@
         }
     }
 
-    /// New terms; `moves`: discovery is at its other place from now on.
+    /// Reloads the config. `moves`: discovery is at its other address from now on.
     pub fn reload(&mut self, moves: bool, discovery: &Discovery, truth: &Arc<Mutex<Truth>>) {
         if self.child.is_none() || self.started.elapsed() < FIRST_RELOAD {
             return;
@@ -119,13 +124,14 @@
         truth.marshal(self.number).reloads.push(Instant::now());
     }
 
-    /// Stands still for a moment.
+    /// Suspends the process for this time.
     pub fn stall(&self, span: Duration) {
         self.signal(Signal::SIGSTOP);
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
     }
 
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self, truth: &Arc<Mutex<Truth>>) {
         truth.lock().unwrap().marshal(self.number).ends.push(Instant::now());
         if let Some(mut child) = self.child.take() {
@@ -134,7 +140,7 @@
         }
     }
 
-    /// A planned stop; the process gets the time that it is owed.
+    /// A planned stop: SIGTERM, and SIGKILL only after [`KILL_AFTER`].
     pub fn stop(&mut self, truth: &Arc<Mutex<Truth>>) {
         let Some(mut child) = self.child.take() else { return };
         truth.lock().unwrap().marshal(self.number).ends.push(Instant::now());
@@ -147,19 +153,19 @@
         let _ = child.wait();
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process exited without being told to.
     pub fn crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// What its own checks have logged as violations, and panics.
+    /// Log lines that report violations or panics.
     pub fn complaints(&self) -> Vec<String> {
         let log = std::fs::read_to_string(self.log()).unwrap_or_default();
         let wrong = |line: &&str| line.contains("violation:") || line.contains("panicked");
         log.lines().filter(wrong).map(str::to_owned).collect()
     }
 
-    /// What its log says of discovery, for whoever has to find out why a rule was broken.
+    /// Log lines about discovery, to help find out why a rule was broken.
     pub fn discovery_log(&self) -> Vec<String> {
         let log = std::fs::read_to_string(self.log()).unwrap_or_default();
         let words =
@@ -168,7 +174,7 @@
         log.lines().filter(said).map(str::to_owned).collect()
     }
 
-    /// The last attempts that its guard is known to have withheld by a stale list.
+    /// The highest logged count of attempts that the guard withheld because of a stale node list.
     pub fn withheld(&self) -> u64 {
         let log = std::fs::read_to_string(self.log()).unwrap_or_default();
         let count = |line: &str| crate::net::number_after(line, "stale_list: ");
--- a/crates/edge/tests/soak/net.rs
+++ b/crates/edge/tests/soak/net.rs
@@ -1,11 +1,11 @@
-//! Servers and messages on loopback, on threads of the standard library.
+//! Blocking servers and HTTP messages on loopback, with the standard library's threads.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Serves each connection on a thread of its own.
+/// Starts a server that handles each connection on its own thread.
 pub fn listen(serve: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (addr, serve) = (listener.local_addr().unwrap(), Arc::new(serve));
@@ -19,7 +19,7 @@
     addr
 }
 
-/// Reads one message by its Content-Length; none at the end of the stream, or where it breaks.
+/// Reads one message, framed by its Content-Length; `None` if the stream ends or fails first.
 pub fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") {
@@ -36,22 +36,25 @@
     Some(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// The number that follows a word in a text.
+/// The number that directly follows the first occurrence of `word` in the text.
 pub fn number_after(text: &str, word: &str) -> Option<u64> {
     let rest = &text[text.find(word)? + word.len()..];
     let digits = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
     rest[..digits].parse().ok()
 }
 
+/// Writes the text; false if the connection has failed.
 pub fn say(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(text.as_bytes()).is_ok()
 }
 
+/// Writes a 200 answer with this body.
 pub fn ok(stream: &mut TcpStream, body: &str) -> bool {
     say(stream, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// Waits until the far side closes, so long at most; always false, as nothing more is said here.
+/// Waits until the peer closes, for this time at most. Always returns false: the connection must not be used
+/// again.
 pub fn closes(stream: &mut TcpStream, within: Duration) -> bool {
     let _ = stream.set_read_timeout(Some(within));
     let mut byte = [0; 64];
@@ -59,6 +62,7 @@
     false
 }
 
+/// Whether a read failed because of its time-out.
 pub fn timed_out(e: &std::io::Error) -> bool {
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
--- a/crates/edge/tests/soak/nodes.rs
+++ b/crates/edge/tests/soak/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that note what reaches them, and have trouble of their own.
+//! Simulated nodes that record every attempt and misbehave on demand.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -8,18 +8,24 @@
 
 use crate::net;
 
-/// What a node does with what it gets.
+/// How a node misbehaves on each request.
 #[derive(Clone, Copy, PartialEq)]
 #[repr(u8)]
 pub enum Trouble {
     None,
+    /// Answers after 350 ms instead of 15 ms.
     Slow,
+    /// Reads the request and never answers.
     Hangs,
+    /// Closes the connection without an answer.
     Resets,
+    /// Answers 500.
     Fails,
+    /// Answers 503 with `X-Not-Processed`.
     TurnsAway,
 }
 
+/// All of them, indexed by [`Node::trouble`].
 pub const TROUBLES: [Trouble; 6] =
     [Trouble::None, Trouble::Slow, Trouble::Hangs, Trouble::Resets, Trouble::Fails, Trouble::TurnsAway];
 
@@ -32,15 +38,18 @@
     pub id: String,
 }
 
+/// Everything that reached any node.
 #[derive(Default)]
 pub struct Arrivals {
     pub all: Vec<Arrival>,
-    /// How often each request ran that must not run twice.
+    /// How often each non-idempotent request ran, by its id.
     pub unsafe_runs: HashMap<String, usize>,
 }
 
+/// A simulated node.
 pub struct Node {
     pub addr: SocketAddr,
+    /// Index into [`TROUBLES`].
     pub trouble: Arc<AtomicU8>,
 }
 
@@ -55,15 +64,16 @@
     }
 }
 
-/// The id of a request is `MARSHAL-NUMBER`.
+/// The id of a request, `MARSHAL-CLIENT-NUMBER`.
 fn id_of(message: &str) -> Option<String> {
     let line = message.lines().find(|line| line.to_lowercase().starts_with("x-request-id: "))?;
     Some(line["x-request-id: ".len()..].to_owned())
 }
 
+/// Serves one request. Returns whether the connection stays open.
 fn serve(number: usize, stream: &mut TcpStream, arrivals: &Mutex<Arrivals>, trouble: Trouble) -> bool {
     let mut first = [0];
-    // The time of a send counts from its first byte.
+    // The arrival time is that of the first byte.
     if !matches!(stream.peek(&mut first), Ok(1)) {
         return false;
     }
--- a/crates/edge/tests/soak/truth.rs
+++ b/crates/edge/tests/soak/truth.rs
@@ -1,16 +1,18 @@
-//! What is true of the fleet, and when each marshal counts as told of it: the record that the checks go by.
+//! The actual state of the nodes over time, and the time by which each marshal must know of a change. The
+//! checks compare the marshals' behavior with this record.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A change counts as told this long after discovery had it and could be reached.
+/// A marshal must know of a change this long after discovery had it and was reachable.
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// This long after SIGHUP.
+/// The same, counted from a SIGHUP.
 const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// This long after the end of a long poll that fell silent.
+/// The same, counted from the end of the hold of a long poll that went silent.
 const TOLD_AFTER_HOLD: Duration = Duration::from_secs(2);
 
+/// The state of a node in discovery.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
     Active,
@@ -19,6 +21,7 @@
 }
 
 impl Phase {
+    /// The phase as discovery writes it.
     pub fn word(self) -> &'static str {
         match self {
             Phase::Active => "active",
@@ -28,6 +31,7 @@
     }
 }
 
+/// A change of a node's phase.
 #[derive(Clone, Copy)]
 pub struct Change {
     pub at: Instant,
@@ -35,30 +39,37 @@
     pub phase: Phase,
 }
 
-/// A watch that fell silent: nothing more was written on it.
+/// A watch that went silent: discovery wrote nothing more on it.
 #[derive(Clone, Copy)]
 pub struct Silence {
     pub since: Instant,
+    /// When the call arrived at discovery.
     pub asked: Instant,
+    /// The hold that the marshal requested.
     pub hold: Duration,
 }
 
+/// What happened to one marshal.
 #[derive(Default)]
 pub struct Marshal {
-    /// Which revision discovery had written to it, and when.
+    /// When discovery wrote to it, and which revision.
     pub written: Vec<(Instant, u64)>,
+    /// When it was sent SIGHUP.
     pub reloads: Vec<Instant>,
     pub silences: Vec<Silence>,
-    /// It was killed, or was sent SIGTERM.
+    /// When it was killed or sent SIGTERM.
     pub ends: Vec<Instant>,
 }
 
+/// The record of a run.
 pub struct Truth {
     pub begun: Instant,
+    /// The revision of the node list.
     pub revision: u64,
     pub nodes: Vec<SocketAddr>,
-    /// What became of each node, the latest last.
+    /// The changes of each node, the latest last.
     pub changes: Vec<Vec<Change>>,
+    /// Start of each discovery outage, and its end if it is over.
     pub outages: Vec<(Instant, Option<Instant>)>,
     pub marshals: HashMap<usize, Marshal>,
 }
@@ -70,6 +81,7 @@
         Truth { begun: first.at, revision: 1, nodes, changes, outages: vec![], marshals: HashMap::new() }
     }
 
+    /// Records a change of a node under a new revision.
     pub fn change(&mut self, node: usize, phase: Phase) {
         self.revision += 1;
         self.changes[node].push(Change { at: Instant::now(), revision: self.revision, phase });
@@ -87,7 +99,8 @@
         self.marshals.entry(number).or_default()
     }
 
-    /// The list as it was at this revision, in discovery's form; `after`: only what has changed since that one.
+    /// The node list as of this revision, in discovery's format. `after`: only what changed since that
+    /// revision.
     pub fn page(&self, at: u64, after: Option<u64>) -> String {
         let entry = |(number, changes): (usize, &Vec<Change>)| {
             let last = changes.iter().rev().find(|change| change.revision <= at)?;
@@ -108,12 +121,13 @@
         format!(r#"{{"revision":{at},"complete":{complete},"members":[{}]}}"#, members.join(","))
     }
 
-    /// The latest revision that was written to a marshal.
+    /// The latest revision that discovery wrote to a marshal.
     pub fn last_written(&self, marshal: usize) -> u64 {
         self.marshals.get(&marshal).and_then(|m| m.written.iter().map(|w| w.1).max()).unwrap_or(1)
     }
 
-    /// A span that runs only while discovery can be reached, and anew after each outage.
+    /// The end of the first span of this length after `from` in which discovery was reachable throughout:
+    /// each outage restarts the span.
     fn reachable_for(&self, from: Instant, span: Duration) -> Instant {
         let overlapping = |end: Instant| {
             let ended = self.outages.iter().filter(|outage| outage.0 <= end);
@@ -126,7 +140,7 @@
         end
     }
 
-    /// When a change counts as told to a marshal, however little of it arrived.
+    /// When a marshal must know of a change, even if little of it arrived.
     fn told(&self, marshal: usize, change: &Change) -> Instant {
         let mut told = self.reachable_for(change.at, TOLD_WITHIN);
         let Some(marshal) = self.marshals.get(&marshal) else { return told };
@@ -145,7 +159,8 @@
         told
     }
 
-    /// Outages, and what one marshal was written and sent, in seconds of the run.
+    /// The outages, what discovery wrote to one marshal and the signals sent to it, in seconds since the
+    /// start of the run.
     pub fn history(&self, marshal: usize) -> String {
         let seconds = |at: &Instant| format!("{:.2}", at.duration_since(self.begun).as_secs_f64());
         let back = |back: &Option<Instant>| back.as_ref().map_or("on".to_owned(), seconds);
@@ -164,7 +179,8 @@
         )
     }
 
-    /// How long ago a marshal was told that this node wants nothing new, at this time; none where it may be sent to.
+    /// How long a marshal has been bound at this time to send nothing new to this node; `None` if it may
+    /// send.
     pub fn withdrawn_for(&self, marshal: usize, node: usize, at: Instant) -> Option<Duration> {
         let before = || self.changes[node].iter().rev().skip_while(|change| change.at > at);
         if before().next()?.phase == Phase::Active {
