--- a/crates/audit/src/exposure.rs
+++ b/crates/audit/src/exposure.rs
@@ -1,30 +1,36 @@
-//! Rule 5 for one marshal and one service: what it was told of the newest build, what it took and what it sent.
+//! Rule 5 for one marshal and one service: the rollout state it was told, the RPCs it accepted and the picks it
+//! sent.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::trace::{Course, Law, Method, Repeat};
 
-/// Build, stage, course and cap, as the desk told them.
+/// Build, stage, course and cap, as the rollout controller announced them.
 type News = (u32, u32, Course, f64);
 
+/// Exposure accounting of one marshal for one service.
 #[derive(Default)]
 pub struct Exposure {
-    /// The latest news and, where a cap was lowered, the older one with the time from which it no longer holds.
+    /// The latest rollout state.
     news: Option<News>,
+    /// After a cap was lowered: the time until which the previous cap still applies, and that cap.
     lowered: Option<(u64, f64)>,
-    /// Sends at a build on trial are counted from here.
+    /// By build: picks before this time do not count against the cap.
     afresh: BTreeMap<u32, u64>,
+    /// By method slot: when RPCs were accepted.
     taken: HashMap<usize, VecDeque<u64>>,
+    /// By build and method slot: when picks were sent.
     sent: HashMap<(u32, usize), VecDeque<u64>>,
-    /// Keys, the latest build that answered them, and since when.
+    /// By key: the newest build that answered it, and when it first did.
     crossed: HashMap<u64, (u64, u32)>,
 }
 
-/// What one send showed.
+/// The result of checking one pick.
 #[derive(Default)]
 pub struct Found {
-    /// How near it came to the cap, where that binds: 1 is the limit.
+    /// Share of the allowed exposure in use, where a cap applies; 1 is the limit.
     pub part: Option<f64>,
+    /// Descriptions of the breaches found.
     pub breaches: Vec<String>,
 }
 
@@ -35,12 +41,12 @@
 }
 
 impl Exposure {
-    /// The marshal took an RPC.
+    /// Records that the marshal accepted an RPC.
     pub fn took(&mut self, now: u64, slot: usize) {
         self.taken.entry(slot).or_default().push_back(now);
     }
 
-    /// The desk told it of the newest build.
+    /// Records the rollout state that the controller sent to the marshal.
     pub fn told(&mut self, now: u64, law: &Law, (build, stage, course, cap): News) {
         let cap = if matches!(course, Course::GoingBack | Course::Withdrawn) { 0.0 } else { cap };
         if let Some((old, _, _, was)) = self.news.filter(|n| n.0 == build && n.3 > cap) {
@@ -50,13 +56,13 @@
         self.news = Some((build, stage, course, cap));
     }
 
-    /// A key had its answer from a build.
+    /// Records that a build answered an RPC with this key.
     pub fn answered(&mut self, now: u64, key: u64, build: u32) {
         let known = self.crossed.get(&key).copied().filter(|c| c.1 >= build);
         self.crossed.insert(key, known.unwrap_or((now, build)));
     }
 
-    /// A node of this build got an RPC of it.
+    /// Checks one pick that the marshal sent to a node of this build.
     pub fn sends(
         &mut self, now: u64, law: &Law, (build, slot): (u32, usize), method: &Method, key: u64,
     ) -> Found {
@@ -64,7 +70,8 @@
         let Some((newest, stage, course, told)) = self.news else { return found };
         let sent = self.sent.entry((build, slot)).or_default();
         sent.push_back(now);
-        // Times of nodes and clients lie a little apart: the narrow side counts sends, the wide one RPCs.
+        // Nodes and clients see the same event at slightly different times. In the marshal's favour, picks are
+        // counted over a window shortened by the slack and RPCs over one lengthened by it.
         let wide = law.window_us + law.slack_us;
         trim(sent, now.saturating_sub(wide));
         let taken = self.taken.entry(slot).or_default();
@@ -106,7 +113,7 @@
         found
     }
 
-    /// Forgets what no window reaches back to.
+    /// Drops times that lie before every window.
     pub fn trim(&mut self, now: u64, law: &Law) {
         let before = now.saturating_sub(law.window_us + law.slack_us);
         self.taken.values_mut().chain(self.sent.values_mut()).for_each(|times| trim(times, before));
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,7 @@
-//! Checks the five rules from a day's trace alone. It shares no code with the decision module and trusts
-//! nobody: what a marshal says of itself is not in the trace. Memory is bounded by the RPCs and sends of the
-//! longest window, not by the day; where keys may not go back, by the keys as well.
+//! Checks five rules from the trace of a run alone. The crate shares no code with the decision module, and the
+//! trace holds nothing that a marshal reports about itself. Memory is bounded by the RPCs and picks within the
+//! longest window, not by the length of the run; where a key must not return to an earlier build, also by the
+//! number of keys.
 #![forbid(unsafe_code)]
 
 mod exposure;
--- a/crates/audit/tests/services.rs
+++ b/crates/audit/tests/services.rs
@@ -1,4 +1,5 @@
-//! The rules by service, on traces written by hand: each is kept as it stands, and broken by one change.
+//! Rules that apply for each service separately, on traces built by hand: each trace passes, and fails after
+//! one change.
 
 use ivydrift_audit::trace::{Course, Group, Kind, Law, Line, Method, Repeat, Seen, State, Turn};
 use ivydrift_audit::{Auditor, Report};
@@ -57,7 +58,7 @@
         self.say(service, Seen::Told { marshal: 0, node, state });
     }
 
-    /// An RPC asked of a service that a node of another got.
+    /// An RPC sent to service `asked` and received by a node of service `got`.
     fn rpc(&mut self, (asked, got): (&str, &str), (node, build): (u32, u32), work_us: u64) {
         self.ids += 1;
         let (id, marshal, key) = (self.ids, 0, 0);
@@ -71,7 +72,7 @@
         self.say("", Seen::Answered { id, kind: Kind::Ok, build, picks: 1 });
     }
 
-    /// Broken rules, of the whole trace; and of the same trace as it was written before there were services.
+    /// Reports on the trace as it is, and with the service names left out, as in traces with only one service.
     fn audit(&self) -> (Report, Report) {
         let run = |plain: bool| {
             let mut auditor = Auditor::new();
@@ -161,7 +162,8 @@
         let mut trace = Trace::new();
         trace.wait(SECOND);
         trace.say("", Seen::Up { node: 1, build: 1, capacity: 1.0 });
-        // Over 1.2 s of work, and the heaviest RPC once more, in a second.
+        // One service sends less than the limit in a second (1.2 s of work and the heaviest RPC once more), two
+        // send more.
         services.iter().for_each(|of| (0..8).for_each(|_| trace.rpc(*of, (1, 1), 100_000)));
         trace.broken()
     };
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,5 +1,5 @@
-//! The day's clients on sockets: apps that call marshals by the client library. The library decides on tries; here
-//! each of them is written to the trace as it passed.
+//! The clients of a run on sockets: applications that call marshals through the client library. The library
+//! makes the attempts; an observer writes each of them to the trace.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,9 +18,10 @@
 use crate::rig::Rig;
 use crate::town::{Ask, End};
 
-/// Apps, each with a channel of its own, whose nearest marshal is the same.
+/// Applications per marshal, each with its own channel, that have this marshal as the nearest one.
 const APPS: usize = 6;
 
+/// The channels of all applications.
 pub(crate) struct Clients {
     /// By the nearest marshal.
     channels: Vec<Vec<Channel>>,
@@ -61,7 +62,7 @@
         Ok(Clients { channels: (0..day.marshals).map(home).collect::<io::Result<_>>()? })
     }
 
-    /// Makes a call in a coroutine of its own.
+    /// Makes a call in a new coroutine.
     pub fn call(&self, rig: &Arc<Rig>, ask: Ask) {
         let channel = self.channels[ask.marshal][ask.call as usize % APPS].clone();
         let cancel = Cancel::new();
@@ -96,10 +97,10 @@
     }
 }
 
-/// Writes each try to the trace.
+/// Writes each attempt to the trace.
 struct Witness {
     rig: Weak<Rig>,
-    /// The try that each call has out.
+    /// By call: the attempt in flight.
     tries: Mutex<HashMap<u64, u64>>,
 }
 
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -1,4 +1,4 @@
-//! The script of a day, in HCL: the fleet, its traffic, the builds that are offered and the troubles. The same
+//! The script of a day, in HCL: the fleet, its traffic, the builds rolled out and the faults injected. The same
 //! script runs on sockets and in virtual time.
 
 use std::time::Duration;
@@ -9,46 +9,47 @@
 
 use crate::sums::Tally;
 
-/// The built-in bad day, and a short one for tests.
+/// The built-in script with many faults.
 pub const BAD: &str = include_str!("../../../days/bad.hcl");
+/// A short script for tests.
 pub const SHORT: &str = include_str!("../../../days/short.hcl");
 
-/// What goes wrong. `much` of a [`Trouble`] says how much; its meaning stands beside each.
+/// The kinds of fault that a script can inject. Each describes what `much` of its [`Trouble`] means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Traffic times `much`.
+    /// Traffic is multiplied by `much`.
     Burst,
     /// A part `much` of one method's RPCs costs `times` the usual work.
     HeavyTail,
-    /// A part `much` of the nodes dies and comes back cold at the end.
+    /// A part `much` of the nodes crashes; they restart cold at the end.
     Crash,
-    /// A part `much` of the nodes takes RPCs and answers none.
+    /// A part `much` of the nodes accepts RPCs and never answers.
     Hang,
-    /// `nodes` of the nodes fail a part `much` of their RPCs at once.
+    /// A part `nodes` of the nodes immediately fails a part `much` of their RPCs.
     FastErrors,
-    /// `nodes` of the nodes work `much` times slower.
+    /// A noisy neighbour: a part `nodes` of the nodes works `much` times slower.
     Neighbour,
-    /// A part `much` of the answers is lost on the way: the connection breaks after the RPC ran.
+    /// A part `much` of the answers is lost: the connection breaks after the RPC ran.
     LostAnswers,
-    /// RPCs to `zone` take `much` seconds longer each way.
+    /// RPCs from other zones to `zone` take `much` seconds longer each way.
     SlowLink,
-    /// All nodes of `zone` are gone, and come back cold.
+    /// All nodes of `zone` stop; they restart cold at the end.
     LostZone,
-    /// The list and the desk tell everything `much` seconds later.
+    /// Node list and rollout controller report everything `much` seconds later.
     LateReports,
-    /// The desk answers nothing; votes may count.
+    /// The rollout controller does not answer; a vote may still be counted.
     DeskDown,
-    /// The list answers nothing.
+    /// The node list closes connections without an answer.
     ListDown,
-    /// A part `much` of the traffic of other zones moves to `zone`.
+    /// A part `much` of the traffic moves to the marshals of `zone`.
     Shift,
-    /// A part `much` of the clients leaves before its time is up.
+    /// A part `much` of the clients cancels before its deadline.
     GiveUp,
     /// Nodes close idle connections after `much` seconds.
     IdleReap,
-    /// Marshal number `much` stands still.
+    /// The process of marshal number `much` is suspended.
     Stall,
-    /// Marshal number `much` is killed, and started anew at the end.
+    /// Marshal number `much` is killed, and restarted at the end.
     Kill,
     /// All nodes work `much` times slower.
     SharedSlow,
@@ -79,50 +80,54 @@
 ];
 
 impl Kind {
+    /// The name of the kind in scripts.
     pub fn word(self) -> &'static str {
         KINDS.iter().find(|k| k.1 == self).map_or("", |k| k.0)
     }
 }
 
+/// A fault that is active for a part of the day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
     pub name: String,
     pub kind: Kind,
     pub at: Duration,
     pub lasts: Duration,
+    /// How severe it is; see [`Kind`].
     pub much: f64,
-    /// The part of the nodes concerned, where the kind has nodes of its own.
+    /// The part of the nodes affected, for kinds that use it.
     pub nodes: f64,
-    /// How often the usual work a heavy RPC costs.
+    /// Cost of a heavy RPC as a multiple of the usual work.
     pub times: f64,
     pub zone: Option<usize>,
     pub method: Option<usize>,
 }
 
 impl Trouble {
+    /// Whether the fault is active.
     pub fn on(&self, now: Duration) -> bool {
         now >= self.at && now < self.at + self.lasts
     }
 }
 
-/// How a build is bad.
+/// How a build is defective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is good.
+    /// Not at all.
     None,
     /// Fails a part `much` of all RPCs.
     Errors,
-    /// Fails a part `much` of one method.
+    /// Fails a part `much` of one method's RPCs.
     OneMethod,
     /// Works `much` times slower.
     Slow,
-    /// Turns slow and fails a part `much`, some seconds after its node started.
+    /// Some seconds after its node started, works at half speed and fails a part `much` of the RPCs.
     Late,
-    /// Fails a part `much` when its node is more than half busy.
+    /// Fails a part `much` of the RPCs while all cores of its node are busy.
     UnderLoad,
-    /// A part `much` of its answers is wrong; clients report some of them later.
+    /// A part `much` of its answers is wrong; some are reported by clients later.
     Wrong,
-    /// Slows all nodes, old and new, `much` times its share of the traffic.
+    /// Slows all nodes, of any build, in proportion to `much` times its share of the traffic.
     Shared,
 }
 
@@ -137,6 +142,7 @@
     ("shared", Fault::Shared),
 ];
 
+/// A build that is rolled out during the day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     pub build: u32,
@@ -146,6 +152,7 @@
     pub method: Option<usize>,
 }
 
+/// A type of machine: its share of the fleet, and its speed relative to a standard core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Machine {
     pub name: String,
@@ -153,44 +160,50 @@
     pub speed: f64,
 }
 
+/// The nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     pub nodes: usize,
     pub cores: usize,
     pub machines: Vec<Machine>,
-    /// A new node runs this long after it was ordered.
+    /// The longest time from ordering a node until it runs.
     pub start: Duration,
-    /// A drained node is gone after this.
+    /// How long a drained node lives on.
     pub leave: Duration,
-    /// RPCs that may wait at a node; more are turned away unseen.
+    /// RPCs that may wait at a node; further ones are rejected without running.
     pub queue: usize,
 }
 
+/// What the RPCs of a method cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
+    /// Share of the traffic.
     pub share: f64,
     pub mean: Duration,
-    /// Work lies within the mean, times 1 minus and plus this.
+    /// Work is uniform between the mean times `1 - spread` and times `1 + spread`.
     pub spread: f64,
 }
 
+/// The traffic of the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Traffic {
-    /// RPCs a second.
+    /// RPCs per second.
     pub rate: f64,
-    /// How often a client tries again by itself.
+    /// How often a client retries an RPC.
     pub retries: u32,
     pub retry_wait: Duration,
-    /// The shortest part of a method's deadline that a client waits.
+    /// The shortest client time-out, as a part of the method's deadline.
     pub patience: f64,
-    /// Keys that clients use, by Zipf; 0 for none.
+    /// Number of keys, drawn by a Zipf distribution; 0 for RPCs without keys.
     pub keys: u64,
     pub zipf: f64,
-    /// Delay one way within a zone, and between zones.
+    /// One-way network delay within a zone.
     pub near: Duration,
+    /// One-way network delay between zones.
     pub far: Duration,
 }
 
+/// A script that has been read and checked.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub name: String,
@@ -198,7 +211,7 @@
     pub lasts: Duration,
     pub marshals: usize,
     pub zones: Vec<String>,
-    /// Peers may tell each other.
+    /// Marshals may exchange reports with each other.
     pub peers: bool,
     pub methods: Vec<(String, MethodTerms, Work)>,
     pub release: ReleaseTerms,
@@ -207,18 +220,19 @@
     pub traffic: Traffic,
     pub offers: Vec<Offer>,
     pub troubles: Vec<Trouble>,
-    /// Lag of the list and of the desk, always.
+    /// How late the node list reports a change, at any time.
     pub list_lag: Duration,
+    /// How late the rollout controller reports a change, at any time.
     pub desk_lag: Duration,
     pub tally: Tally,
-    /// The blocks that marshals' terms take over as they stand.
+    /// The blocks that are copied unchanged into the marshals' configs.
     terms: String,
 }
 
-/// Reads a day's script.
+/// Reads the script of a day. `file` is its name in messages.
 ///
 /// # Errors
-/// All that is wrong with it, each with file, line, column and what to write instead.
+/// Everything that is wrong with it, each with file, line, column and what to write instead.
 pub fn read(file: &str, text: &str) -> Result<Day, Complaints> {
     Page::new(file, text).read(|top| day(file, top))
 }
@@ -244,7 +258,7 @@
     let names: Vec<String> = methods.iter().map(|m| m.0.clone()).collect();
     let works = top.labelled("work", |name, s| {
         if !names.iter().any(|n| n == name) {
-            s.complain(None, format!("work of {name:?}, which is no method here"));
+            s.complain(None, format!("work is given for {name:?}, but there is no such method"));
         }
         let work = Work {
             share: s.number("share", None, 0.0..=1.0),
@@ -339,7 +353,7 @@
     }
 }
 
-/// Addresses of one marshal and of what it asks.
+/// The addresses of one marshal and of the services that it uses.
 pub struct Addresses {
     pub listen: std::net::SocketAddr,
     pub node_list: std::net::SocketAddr,
@@ -348,11 +362,12 @@
 }
 
 impl Day {
+    /// The index of a marshal's zone.
     pub fn zone_of_marshal(&self, marshal: usize) -> usize {
         marshal % self.zones.len()
     }
 
-    /// The terms of one marshal of this day, as HCL.
+    /// The config of one marshal, as HCL.
     pub fn terms(&self, marshal: usize, at: &Addresses) -> String {
         let quoted =
             |names: Vec<String>| names.iter().map(|n| format!("{n:?}")).collect::<Vec<_>>().join(", ");
@@ -376,7 +391,7 @@
         )
     }
 
-    /// What the checker of the trace is told.
+    /// The limits that the trace checker applies. `slack`: how far apart two observers may see the same event.
     pub fn law(&self, slack: Duration) -> trace::Law {
         let us = |d: Duration| d.as_micros() as u64;
         let method = |(name, terms, _): &(String, MethodTerms, Work)| {
--- a/crates/standin/src/desk.rs
+++ b/crates/standin/src/desk.rs
@@ -1,4 +1,4 @@
-//! The stand-in release desk: offers builds stage by stage, counts votes, moves on or sends back.
+//! The fake rollout controller: rolls builds out stage by stage, counts votes, promotes or rolls back.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,46 +6,54 @@
 use ivydrift_policy::port::ReleaseTerms;
 use ivydrift_wire::desk::{Counted, Course, Stage, Verdict, Vote};
 
-/// What the desk wants of the fleet.
+/// A change that the controller requests of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wish {
-    /// So many nodes of the build must run in all.
+    /// Launch nodes of the build for this stage; `usize::MAX` for a full fleet.
     Launch(u32, usize),
-    /// Nodes of this build leave.
+    /// Drain all nodes of this build.
     Drain(u32),
 }
 
+/// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
     pub build: u32,
     pub stage: usize,
     pub course: Course,
+    /// The part of the traffic that the build may get.
     pub cap: f64,
     pub since: Duration,
 }
 
 impl Standing {
+    /// The state in the form sent to marshals.
     pub fn told(&self, now: Duration) -> Stage {
         let age_ms = now.saturating_sub(self.since).as_millis() as u64;
         Stage { build: self.build, stage: self.stage as u32, course: self.course, cap: self.cap, age_ms }
     }
 }
 
+/// The controller.
 pub struct Desk {
     pub standing: Standing,
-    /// The build to go back to.
+    /// The build to roll back to.
     pub earlier: u32,
-    /// Since when the present stage's machines all run.
+    /// Since when all nodes of the present stage run.
     running: Option<Duration>,
+    /// By marshal: its latest vote.
     votes: BTreeMap<u32, (Vote, Duration)>,
-    /// Standings with their version, oldest first: news comes late.
+    /// Past states with time and version, oldest first, for delayed reports.
     history: VecDeque<(Duration, u64, Standing)>,
+    /// Votes of the last second, for the rate limit.
     taken: VecDeque<Duration>,
+    /// All states, with the time at which each began.
     pub log: Vec<(Duration, Standing)>,
     pub votes_counted: u64,
 }
 
 impl Desk {
+    /// Creates a controller with build 1 released.
     pub fn new(last_stage: usize) -> Self {
         let standing = Standing {
             build: 1,
@@ -77,13 +85,13 @@
         self.log.push((now, self.standing));
     }
 
-    /// The news as it is told `lag` later: version and standing.
+    /// The version and state that are visible with a delay of `lag`.
     pub fn as_told(&self, now: Duration, lag: Duration) -> (u64, Standing) {
         let known = self.history.iter().rev().find(|h| h.0 + lag <= now).or(self.history.front());
         known.map_or((0, self.standing), |h| (h.1, h.2))
     }
 
-    /// Offers a build; one still on trial is taken off.
+    /// Begins the rollout of a build; one still on trial is drained.
     pub fn offer(&mut self, now: Duration, build: u32, release: &ReleaseTerms) -> Vec<Wish> {
         let mut wishes = Vec::new();
         match self.standing.course {
@@ -109,8 +117,8 @@
         self.votes.values().filter(stands).count()
     }
 
-    /// Looks at the votes. `up`: how many nodes of the newest build run, of how many wanted; `left`: how many
-    /// of it are not gone. `back`: the earlier build has its machines.
+    /// Decides by the votes. `up`: nodes of the newest build that run, `wanted`: how many the stage needs, `left`:
+    /// how many are not gone. `back`: the earlier build has enough nodes again.
     pub fn step(
         &mut self, now: Duration, (up, wanted, left): (usize, usize, usize), back: bool,
         release: &ReleaseTerms,
@@ -139,12 +147,13 @@
                 self.stand(now, stage, Course::Withdrawn, 0.0);
                 vec![]
             }
-            // Where forerunners are gone, they must run before the build can leave.
+            // If nodes of the earlier build were replaced, they must run again before this build is drained.
             Course::GoingBack if back => vec![Wish::Drain(build)],
             _ => vec![],
         }
     }
 
+    /// Counts a vote, within the rate limit.
     pub fn vote(&mut self, now: Duration, vote: Vote, release: &ReleaseTerms) -> Counted {
         while self.taken.front().is_some_and(|&t| t + Duration::from_secs(1) < now) {
             self.taken.pop_front();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for all that a marshal meets: nodes, node list, release desk and clients, by a scripted day.
-//! [`town::Town`] holds what they do, without I/O; [`sockets`] puts it on loopback sockets, [`sim`] into a
-//! simulated network with virtual time. Both write the same trace.
+//! Fakes of everything that a marshal talks to (nodes, node list, rollout controller, clients), driven by the
+//! script of a day. [`town::Town`] holds their behaviour without I/O; [`sockets`] runs it on loopback sockets,
+//! [`sim`] in a simulated network under virtual time. Both write the same trace.
 #![forbid(unsafe_code)]
 #![cfg_attr(test, recursion_limit = "256")]
 
--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -1,5 +1,5 @@
-//! Faults of the links between processes, by script: what becomes of one datagram. Pure and seeded, for sockets
-//! and for virtual time alike.
+//! Scripted faults of the network links between processes: which datagrams are lost, delayed or duplicated. Without
+//! I/O and seeded, so that sockets and virtual time can use it.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,30 +7,33 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// What a fault does to a datagram that it concerns.
+/// The effect of a fault on a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Harm {
+    /// Every datagram is lost.
     Cut,
-    /// Cut and whole in turns, each for this long, cut first.
+    /// The link is down and up alternately, each for this long, down first.
     Flicker(Duration),
-    /// This part is lost.
+    /// This part of the datagrams is lost.
     Loss(f64),
-    /// It takes longer by some span of these.
+    /// A delay drawn uniformly from this range is added.
     Delay(Range<Duration>),
-    /// This part arrives twice.
+    /// This part of the datagrams arrives twice.
     Repeat(f64),
-    /// This part is held back for so long that later ones pass it.
+    /// This part of the datagrams is delayed by this long, so that later ones overtake them.
     Reorder(f64, Duration),
 }
 
+/// A fault that is active for some time on some links.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     pub at: Duration,
     pub lasts: Duration,
-    /// The senders and receivers concerned.
+    /// The senders affected.
     pub from: Vec<usize>,
+    /// The receivers affected.
     pub to: Vec<usize>,
-    /// The way back too.
+    /// The reverse direction is affected as well.
     pub both: bool,
     pub harm: Harm,
 }
@@ -43,25 +46,29 @@
     }
 }
 
+/// All faults, and the random generator that applies them.
 pub struct Links {
     faults: Vec<Fault>,
     rng: Pcg64,
 }
 
 impl Links {
+    /// Creates links with these faults.
     pub fn new(seed: u64, faults: Vec<Fault>) -> Self {
         Links { faults, rng: Pcg64::seed_from_u64(seed) }
     }
 
+    /// Adds a fault.
     pub fn add(&mut self, fault: Fault) {
         self.faults.push(fault);
     }
 
+    /// Removes all faults.
     pub fn clear(&mut self) {
         self.faults.clear();
     }
 
-    /// After how long each copy of a datagram arrives; none where it is lost.
+    /// The delay of each copy of a datagram; empty if it is lost.
     pub fn carry(&mut self, now: Duration, from: usize, to: usize) -> Vec<Duration> {
         let (mut delay, mut copies) = (Duration::ZERO, 1);
         for fault in self.faults.iter().filter(|f| f.concerns(now, from, to)) {
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -1,41 +1,48 @@
-//! A stand-in node: cores that work one RPC at a time, a bounded queue, a cold start, and falling over.
+//! A fake node: cores that run one RPC at a time, a queue, slow start, and failure under overload while cold.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ivydrift_policy::port::RuleTerms;
 
+/// The life cycle of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Life {
-    /// Ordered; it runs from then on.
+    /// Ordered; it starts at this time.
     Starting(Duration),
     Up,
-    /// Drained; gone from then on.
+    /// Drained; it stops at this time.
     Leaving(Duration),
     Gone,
 }
 
+/// A fake node.
 pub struct Node {
     pub build: u32,
     pub zone: usize,
+    /// Index of its machine type.
     pub machine: usize,
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
     pub life: Life,
-    /// When it last started; none for the day's first nodes, which are warm.
+    /// When it last started; `None` for the initial nodes, which are warm.
     pub since: Option<Duration>,
-    /// Where it listens, once it does.
+    /// Its port, once it listens.
     pub port: Option<u16>,
-    /// It died in a trouble that lasts until then.
+    /// It crashed in a fault that ends at this time.
     pub back_at: Option<Duration>,
+    /// When each core becomes free.
     cores: Vec<Duration>,
-    /// Times at which RPCs held now will be done.
+    /// When each RPC in the node will be done.
     held: VecDeque<Duration>,
-    /// Work sent while cold, in seconds.
+    /// Work received while cold: time, and cost in seconds.
     work: VecDeque<(Duration, f64)>,
+    /// Arrival times of the RPCs of the last second.
     served: VecDeque<Duration>,
 }
 
 impl Node {
+    /// Creates a node that has not started.
     pub fn new(build: u32, zone: usize, machine: usize, speed: f64, cores: usize, life: Life) -> Self {
         Node {
             build,
@@ -53,23 +60,24 @@
         }
     }
 
+    /// Whether the node serves RPCs.
     pub fn running(&self) -> bool {
         matches!(self.life, Life::Up | Life::Leaving(_))
     }
 
-    /// Work a second when warm, in seconds of a standard core.
+    /// Seconds of work on a standard core that it does in a second when warm.
     pub fn capacity(&self) -> f64 {
         self.speed * self.cores.len() as f64
     }
 
-    /// What it can do now, against what it can do warm.
+    /// Present capacity as a part of the warm capacity.
     pub fn present(&self, now: Duration, rules: &RuleTerms) -> f64 {
         let Some(since) = self.since else { return 1.0 };
         let grown = now.saturating_sub(since).as_secs_f64() / rules.warm_within.as_secs_f64().max(0.001);
         rules.cold_from + (1.0 - rules.cold_from) * grown.min(1.0)
     }
 
-    /// Starts anew, with nothing of before.
+    /// Starts the node, cold and without RPCs.
     pub fn start(&mut self, now: Duration) {
         let cores = self.cores.len();
         self.cores = vec![Duration::ZERO; cores];
@@ -78,20 +86,24 @@
         self.work.clear();
     }
 
+    /// RPCs that wait for a core.
     pub fn queue(&mut self, now: Duration) -> usize {
         self.held.retain(|&done| done > now);
         self.held.len().saturating_sub(self.cores.len())
     }
 
+    /// Whether all cores are busy.
     pub fn busy(&mut self, now: Duration) -> bool {
         self.held.retain(|&done| done > now);
         self.held.len() >= self.cores.len()
     }
 
+    /// RPCs that run or wait, as of the latest call with a time.
     pub fn in_flight(&self) -> usize {
         self.held.len()
     }
 
+    /// RPCs accepted in the last second.
     pub fn rate(&mut self, now: Duration) -> f64 {
         while self.served.front().is_some_and(|&t| t + Duration::from_secs(1) < now) {
             self.served.pop_front();
@@ -99,7 +111,7 @@
         self.served.len() as f64
     }
 
-    /// Whether this much work, in seconds, pushes it over.
+    /// Adds work, in seconds; true if it makes the cold node fail.
     pub fn topples(&mut self, now: Duration, work: f64, rules: &RuleTerms) -> bool {
         let Some(since) = self.since.filter(|s| now < *s + rules.warm_within + rules.fall_window) else {
             return false;
@@ -115,7 +127,8 @@
         sum > rules.fall_multiple * mean * rules.fall_window.as_secs_f64() + heaviest
     }
 
-    /// Takes work (in seconds of this node as it is now) onto its earliest core; when it will be done.
+    /// Queues work (in seconds at the node's present capacity) on the first free core; returns when it will be
+    /// done.
     pub fn load(&mut self, now: Duration, work: f64) -> Duration {
         let core = self.cores.iter_mut().min().expect("a node has a core");
         *core = (*core).max(now) + Duration::from_secs_f64(work);
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay for the datagrams between marshals that run as processes: each is told the relay's address for every
-//! other, and what arrives is carried on as the script of the links says.
+//! A UDP relay between marshals that run as processes. Each marshal gets the relay's address in place of every
+//! peer's, and the relay forwards datagrams through scripted link faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,10 +13,12 @@
 
 use crate::links::{Fault, Links};
 
+/// The longest wait for a datagram before delayed ones are checked.
 const BEAT: Duration = Duration::from_millis(5);
 
+/// A relay with one socket for each marshal.
 pub struct Relay {
-    /// Where others send what is meant for each marshal.
+    /// By marshal: the relay address to which its peers send.
     pub to: Vec<SocketAddr>,
     zero: Instant,
     links: Arc<Mutex<Links>>,
@@ -25,10 +27,10 @@
 }
 
 impl Relay {
-    /// Carries to the marshals that listen at `own`.
+    /// Starts a relay to the marshals that listen at `own`.
     ///
     /// # Errors
-    /// When no socket can be had.
+    /// When a socket cannot be bound.
     pub fn new(own: &[SocketAddr], links: Links) -> io::Result<Self> {
         let (links, over) = (Arc::new(Mutex::new(links)), Arc::new(AtomicBool::new(false)));
         let zero = Instant::now();
@@ -43,24 +45,25 @@
         Ok(Relay { to, zero, links, over, threads })
     }
 
-    /// The addresses that marshal `number` is told: its own as it is, the relay's for all others.
+    /// The peer addresses for marshal `number`: its own as it is, the relay's for all others.
     pub fn told(&self, number: usize, own: SocketAddr) -> Vec<SocketAddr> {
         let mut all = self.to.clone();
         all[number] = own;
         all
     }
 
+    /// Time since the relay started, which the faults refer to.
     pub fn now(&self) -> Duration {
         self.zero.elapsed()
     }
 
-    /// From now on, for ever or until [`Relay::heal`].
+    /// Applies a fault from now until [`Relay::heal`].
     pub fn harm(&self, fault: Fault) {
         let at = self.now();
         self.links.lock().unwrap().add(Fault { at, lasts: Duration::MAX, ..fault });
     }
 
-    /// All links are whole again.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.links.lock().unwrap().clear();
     }
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/rig.rs
@@ -1,4 +1,5 @@
-//! What a day on sockets shares: the town behind its lock, the trace, and who listens where.
+//! State shared by the threads and coroutines of a run on sockets: the fakes behind a lock, the trace and the
+//! listeners.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,19 +13,26 @@
 
 use crate::town::Town;
 
+/// A listener and its open connections.
 pub(crate) struct Hub {
     pub(crate) address: SocketAddr,
     pub(crate) shut: AtomicBool,
     pub(crate) open: Mutex<HashMap<u64, Look>>,
 }
 
+/// The shared state of a run.
 pub(crate) struct Rig {
     pub(crate) town: Mutex<Town>,
+    /// When the run began.
     pub(crate) zero: Instant,
     pub(crate) trace: Mutex<Sender<Line>>,
+    /// Listeners of the nodes, by number.
     pub(crate) nodes: Mutex<HashMap<u32, Arc<Hub>>>,
+    /// Listeners of node list and rollout controller.
     pub(crate) servers: Mutex<Vec<Arc<Hub>>>,
+    /// Addresses of the marshals.
     pub(crate) listens: Vec<SocketAddr>,
+    /// The run has ended.
     pub(crate) over: AtomicBool,
 }
 
@@ -33,7 +41,7 @@
         self.zero.elapsed()
     }
 
-    /// Calls the town, and hands its lines on before anybody else can add to them.
+    /// Runs a call on the fakes and passes its trace lines on under the same lock, which keeps them in order.
     pub(crate) fn town<T>(&self, call: impl FnOnce(&mut Town, Duration) -> T) -> T {
         let mut town = self.town.lock().unwrap();
         let result = call(&mut town, self.now());
@@ -46,9 +54,10 @@
 }
 
 impl Hub {
+    /// Stops listening and breaks all connections.
     pub(crate) fn close(&self) {
         self.shut.store(true, Ordering::Release);
-        // An accept in progress wakes by a connection.
+        // A connection wakes the pending accept.
         let _ = std::net::TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
         for look in self.open.lock().unwrap().values() {
             look.cut();
--- a/crates/standin/src/services/client.rs
+++ b/crates/standin/src/services/client.rs
@@ -1,4 +1,4 @@
-//! A client of the marshals, one connection for each RPC.
+//! A client that opens a connection for each RPC.
 
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,34 +8,37 @@
 
 use super::{http, Services};
 
-/// How long it waits beyond its time before it gives up: an answer that comes meanwhile is late.
+/// How long it waits past the deadline, so that a late answer is seen and recorded.
 const PATIENCE: Duration = Duration::from_secs(1);
 
-/// An RPC as it is asked.
+/// An RPC to send.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     pub service: &'a str,
     pub method: &'a str,
+    /// Time until the deadline.
     pub left: Duration,
-    /// The subject; 0 for none.
+    /// The routing key; 0 for none.
     pub key: u64,
     pub tenant: Option<&'a str>,
-    /// The call that it is a try of; none where it is the first.
+    /// The call that this is a further attempt of; `None` for a new call.
     pub call: Option<u64>,
 }
 
 impl<'a> Ask<'a> {
+    /// Creates an RPC with a deadline of two seconds, without key or tenant.
     pub fn new(service: &'a str, method: &'a str) -> Self {
         Ask { service, method, left: Duration::from_secs(2), key: 0, tenant: None, call: None }
     }
 
+    /// Sets the deadline, in milliseconds.
     #[must_use]
     pub fn within(self, ms: u64) -> Self {
         Ask { left: Duration::from_millis(ms), ..self }
     }
 }
 
-/// What came of it.
+/// The result of an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Answered {
@@ -46,16 +49,18 @@
         retry_after: Option<Duration>,
         took: Duration,
     },
-    /// It was no RPC.
+    /// The marshal did not accept it as an RPC; the HTTP status.
     Rejected(u16),
-    /// The connection ended without an answer.
+    /// The connection ended without a complete answer.
     Broken,
-    /// There was no connection.
+    /// No connection could be made.
     Refused,
+    /// No answer came in time.
     TimeUp,
 }
 
 impl Reply {
+    /// The final answer, if there is one.
     pub fn kind(&self) -> Option<Kind> {
         match self {
             Reply::Answered { kind, .. } => Some(*kind),
@@ -63,13 +68,14 @@
         }
     }
 
+    /// Whether the final answer is ok.
     pub fn ok(&self) -> bool {
         self.kind() == Some(Kind::Ok)
     }
 }
 
 impl Services {
-    /// Asks a marshal, and writes down what came of it.
+    /// Sends an RPC to a marshal, and records it and its result in the trace.
     pub fn call(&self, (marshal, to): (u32, SocketAddr), ask: &Ask) -> Reply {
         let (key, left_us) = (ask.key, ask.left.as_micros() as u64);
         let (id, call) = self.with(|town, now| {
--- a/crates/standin/src/services/mod.rs
+++ b/crates/standin/src/services/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins that know many services: one node list and one release desk for all of them, nodes of each, and clients.
-//! What they do a test says by calls, and all of it goes into one trace, for the checker. On threads and sockets of the
-//! standard library, with words of their own: nothing is shared with the marshals.
+//! Fakes for tests with several services: one node list and one rollout controller for all services, nodes of
+//! each, and clients. A test drives them by calls, and all events go into one trace for the checker. They use
+//! threads and standard library sockets and share no code with the marshals.
 
 mod client;
 mod http;
@@ -18,43 +18,43 @@
 
 pub use client::{Ask, Reply};
 
-/// The names of zones, by their numbers.
+/// Zone names, by index.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// What the list does with questions about a service.
+/// How the node list answers requests for a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
     Fine,
-    /// Nothing comes back on the connection, for ever.
+    /// It never answers, and keeps the connection open.
     Silent,
-    /// Half of the answer comes, then the end.
+    /// It sends half of the body, then closes the connection.
     Torn,
-    /// Half of the answer comes, then nothing, for ever.
+    /// It sends half of the body, and keeps the connection open.
     Stuck,
-    /// The answer takes so long.
+    /// It answers after this delay.
     Slow(Duration),
 }
 
-/// What a node does with the RPCs that it gets.
+/// How a node handles RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Deed {
     Answers,
-    /// It does the work, and closes without an answer.
+    /// It does the work, and closes the connection without an answer.
     Breaks,
 }
 
-/// A node as it starts.
+/// The properties of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub build: u32,
     pub zone: usize,
-    /// What each RPC takes, and costs it.
+    /// How long each RPC takes, which is also its cost.
     pub work: Duration,
-    /// Work a second when warm, in seconds.
+    /// Seconds of work that it does in a second when warm.
     pub capacity: f64,
-    /// It starts now; others were there long before.
+    /// It starts cold; otherwise it counts as long running.
     pub cold: bool,
-    /// Where it listens; anywhere if that is left open.
+    /// Its address; `None` for a free port.
     pub at: Option<SocketAddr>,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A question to the list.
+/// A request to the node list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Question {
     pub at: Duration,
@@ -73,7 +73,7 @@
     pub index: u64,
 }
 
-/// A vote as it came to the desk.
+/// A vote received by the rollout controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Vote {
     pub marshal: u32,
@@ -82,7 +82,7 @@
     pub build: u32,
 }
 
-/// An RPC at a node.
+/// An RPC received by a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Got {
     pub at: Duration,
@@ -92,12 +92,14 @@
     pub id: u64,
 }
 
+/// Build, stage, course and cap of a rollout.
 type News = (u32, u32, Course, f64);
 
 struct Service {
-    /// Of the list and of the desk.
+    /// Versions of the node list and of the rollout state.
     index: [u64; 2],
     news: News,
+    /// When the rollout state was set.
     since: Instant,
     manner: Manner,
 }
@@ -106,35 +108,40 @@
     service: String,
     plan: Plan,
     addr: SocketAddr,
-    /// Unix time, where it is told.
+    /// Start time as Unix time, if the node list shows it.
     started_ms: Option<u64>,
     state: State,
     deed: Deed,
     door: Arc<served::Door>,
+    /// Connections accepted since it started.
     connections: usize,
 }
 
+/// The state of all fakes.
 #[derive(Default)]
 struct Town {
     lines: Vec<Line>,
     services: HashMap<String, Service>,
     nodes: Vec<Node>,
+    /// By marshal and service: the node states it was told.
     told: HashMap<(u32, String), BTreeMap<u32, State>>,
+    /// By marshal and service: the rollout state it was told.
     newsed: HashMap<(u32, String), News>,
     questions: Vec<Question>,
     votes: Vec<Vote>,
     got: Vec<Got>,
-    /// Questions held now, by who asks, of the list.
+    /// Open long polls of the node list, by marshal and service.
     watches: HashMap<(u32, String), usize>,
-    /// When each token was first met.
+    /// When each token was first seen.
     tokens: HashMap<u64, Instant>,
     ids: u64,
 }
 
+/// State shared by all threads.
 struct Shared {
     zero: Instant,
     law: Law,
-    /// Whom questions without a service are about.
+    /// The service of requests that name none.
     home: String,
     town: Mutex<Town>,
     changed: Condvar,
@@ -142,7 +149,7 @@
 }
 
 impl Shared {
-    /// Calls with the present time, which lines are written with.
+    /// Runs a call under the lock, with the time for its trace lines.
     fn with<T>(&self, call: impl FnOnce(&mut Town, Duration) -> T) -> T {
         let mut town = self.town.lock().unwrap();
         let now = self.zero.elapsed();
@@ -166,7 +173,8 @@
     }
 }
 
-/// An address that was just left is free once the thread that accepted there has ended.
+/// Binds an address. One that was just closed is free once its accepting thread has ended, so this retries for two
+/// seconds.
 fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let by = Instant::now() + Duration::from_secs(2);
     loop {
@@ -179,6 +187,7 @@
     }
 }
 
+/// The running fakes; they stop when this is dropped.
 pub struct Services {
     shared: Arc<Shared>,
     doors: Vec<Arc<served::Door>>,
@@ -187,10 +196,11 @@
 }
 
 impl Services {
-    /// `home`: the service of marshals' `places.service`, which the desk is asked about without a name.
+    /// Starts a node list and a rollout controller. `home`: the `places.service` of the marshals, which their
+    /// requests to the rollout controller do not name.
     ///
     /// # Errors
-    /// When no address can be had.
+    /// When an address cannot be bound.
     pub fn new(law: Law, home: &str) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             zero: Instant::now(),
@@ -214,7 +224,7 @@
         result
     }
 
-    /// A service that is known to the list: without nodes, build 1 released long ago.
+    /// Adds a service without nodes, with build 1 released long ago.
     pub fn add(&self, service: &str) {
         let one = || Service {
             index: [1, 1],
@@ -225,10 +235,10 @@
         self.with(|town, _| _ = town.services.entry(service.to_owned()).or_insert_with(one));
     }
 
-    /// Starts a node of a service, which is added where it is not known yet; its number.
+    /// Starts a node and returns its number. The service is added if it is unknown.
     ///
     /// # Errors
-    /// When no address can be had.
+    /// When an address cannot be bound.
     pub fn start(&self, service: &str, plan: Plan) -> io::Result<u32> {
         self.add(service);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -244,7 +254,7 @@
         Ok(number)
     }
 
-    /// A node that listens is up, and listed.
+    /// Adds a listening node to the node list.
     fn show(&self, number: u32) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.with(|town, now| {
@@ -260,7 +270,7 @@
         });
     }
 
-    /// The list says from now on that it drains.
+    /// Marks a node as draining in the node list.
     pub fn drain(&self, node: u32) {
         self.with(|town, _| {
             town.nodes[node as usize].state = State::Draining;
@@ -269,7 +279,7 @@
         });
     }
 
-    /// It goes, with all its connections, and from the list.
+    /// Stops a node, breaks its connections and removes it from the node list.
     pub fn stop(&self, node: u32) {
         let door = self.with(|town, now| {
             town.nodes[node as usize].state = State::Gone;
@@ -282,10 +292,10 @@
         door.shut();
     }
 
-    /// It comes back at its address as another process.
+    /// Restarts a stopped node at the same address.
     ///
     /// # Errors
-    /// When the address cannot be had any more.
+    /// When the address cannot be bound.
     pub fn again(&self, node: u32, plan: Plan) -> io::Result<()> {
         let addr = self.with(|town, _| town.nodes[node as usize].addr);
         let door = served::open(&self.shared, bind(addr)?, served::Role::Node(node))?;
@@ -297,25 +307,27 @@
         Ok(())
     }
 
+    /// Sets how a node handles RPCs.
     pub fn deed(&self, node: u32, deed: Deed) {
         self.with(|town, _| town.nodes[node as usize].deed = deed);
     }
 
-    /// From now on each RPC takes it this long.
+    /// Sets how long a node takes for an RPC.
     pub fn work(&self, node: u32, work: Duration) {
         self.with(|town, _| town.nodes[node as usize].plan.work = work);
     }
 
+    /// The address of a node.
     pub fn addr(&self, node: u32) -> SocketAddr {
         self.with(|town, _| town.nodes[node as usize].addr)
     }
 
-    /// Connections that it has had since it started.
+    /// Connections that a node has accepted since it started.
     pub fn connections(&self, node: u32) -> usize {
         self.with(|town, _| town.nodes[node as usize].connections)
     }
 
-    /// The desk's word on the service's newest build, from now on.
+    /// Sets the rollout state of a service.
     pub fn stage(&self, service: &str, (build, stage, course, cap): (u32, u32, Course, f64)) {
         self.with(|town, _| {
             if let Some(one) = town.services.get_mut(service) {
@@ -325,11 +337,12 @@
         });
     }
 
+    /// Sets how the node list answers requests for a service.
     pub fn manner(&self, service: &str, manner: Manner) {
         self.with(|town, _| town.services.get_mut(service).into_iter().for_each(|one| one.manner = manner));
     }
 
-    /// What becomes of a marshal: said before it is killed, and before it is started.
+    /// Records what happens to a marshal's process. Call it before the process is killed or started.
     pub fn turn(&self, marshal: u32, turn: Turn) {
         self.with(|town, now| {
             if turn == Turn::Started {
@@ -340,25 +353,28 @@
         });
     }
 
+    /// Time since the fakes started.
     pub fn now(&self) -> Duration {
         self.shared.zero.elapsed()
     }
 
+    /// All requests to the node list so far.
     pub fn questions(&self) -> Vec<Question> {
         self.with(|town, _| town.questions.clone())
     }
 
+    /// All votes so far.
     pub fn votes(&self) -> Vec<Vote> {
         self.with(|town, _| town.votes.clone())
     }
 
-    /// All RPCs that nodes of a service got.
+    /// All RPCs received by nodes of a service.
     pub fn got(&self, service: &str) -> Vec<Got> {
         let of = |town: &Town, got: &Got| town.nodes[got.node as usize].service == service;
         self.with(|town, _| town.got.iter().filter(|got| of(town, got)).copied().collect())
     }
 
-    /// Services whose lists a marshal holds a question to now.
+    /// Services whose node list a marshal is polling now.
     pub fn watches(&self, marshal: u32) -> Vec<String> {
         let held = |town: &mut Town, _| {
             let mine = town.watches.iter().filter(|w| w.0 .0 == marshal && *w.1 > 0);
@@ -367,14 +383,15 @@
         self.with(held)
     }
 
+    /// The trace so far.
     pub fn lines(&self) -> Vec<Line> {
         self.with(|town, _| town.lines.clone())
     }
 
-    /// The checker's report on the trace so far.
+    /// Checks the trace so far.
     ///
     /// # Errors
-    /// When it is no trace.
+    /// When the trace is malformed.
     pub fn report(&self) -> Result<Report, String> {
         let mut auditor = Auditor::new();
         self.lines().iter().try_for_each(|line| auditor.take(line))?;
--- a/crates/standin/src/services/served.rs
+++ b/crates/standin/src/services/served.rs
@@ -1,4 +1,4 @@
-//! What list, desk and nodes answer: a thread for each address and each connection.
+//! The servers of node list, rollout controller and nodes: one thread for each listener and each connection.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -13,12 +13,13 @@
 use super::http::{self, Message};
 use super::{Deed, Got, Manner, Question, Shared, Town, Vote, ZONES};
 
-/// What a thread here needs.
+/// Stack size of a thread, in bytes.
 const STACK: usize = 256 * 1024;
 
-/// A held question is looked at this often, whether its asker has left.
+/// How often a held request is checked for a closed connection.
 const LOOK: Duration = Duration::from_millis(250);
 
+/// What a listener serves.
 #[derive(Clone, Copy)]
 pub enum Role {
     List,
@@ -26,7 +27,7 @@
     Node(u32),
 }
 
-/// An address that is served, until it is shut.
+/// A listener and its open connections.
 pub struct Door {
     pub addr: SocketAddr,
     closed: AtomicBool,
@@ -34,12 +35,12 @@
 }
 
 impl Door {
-    /// Nothing more is accepted, and connections end.
+    /// Stops accepting and breaks all connections.
     pub fn shut(&self) {
         if self.closed.swap(true, Ordering::AcqRel) {
             return;
         }
-        // An accept in progress wakes by a connection.
+        // A connection wakes the pending accept.
         let _ = TcpStream::connect_timeout(&self.addr, Duration::from_millis(200));
         for stream in self.open.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -55,6 +56,7 @@
     std::thread::Builder::new().stack_size(STACK).spawn(run).map(drop)
 }
 
+/// Serves a listener until it is shut.
 pub fn open(shared: &Arc<Shared>, listener: TcpListener, role: Role) -> io::Result<Arc<Door>> {
     let addr = listener.local_addr()?;
     let door = Arc::new(Door { addr, closed: AtomicBool::new(false), open: Mutex::default() });
@@ -108,7 +110,7 @@
     }
 }
 
-/// Holds a question until it has an answer, or nobody waits for one.
+/// Holds a long poll until there is an answer or the client has closed the connection.
 fn hold<T>(
     shared: &Shared, stream: &TcpStream, message: &Message,
     ask: impl Fn(&mut Town, Duration, u64, bool) -> Option<T>,
@@ -178,7 +180,7 @@
     None
 }
 
-/// The list of a service where it is newer than `index`, or must be told.
+/// The node list of a service, if it is newer than `index` or the wait is over (`must`).
 fn listed(
     town: &mut Town, now: Duration, marshal: u32, service: &str, index: u64, must: bool,
 ) -> Option<(u64, String)> {
@@ -201,7 +203,7 @@
                "Checks": [{"Status": status}]})
     };
     let body = Value::Array(mine.map(|(_, node)| entry(node)).collect()).to_string();
-    // Of an answer that does not come whole nothing was told.
+    // A truncated answer tells the marshal nothing.
     if !matches!(manner, Manner::Torn | Manner::Stuck) {
         let key = (marshal, service.to_owned());
         let known = town.told.insert(key, fresh.clone()).unwrap_or_default();
@@ -223,7 +225,7 @@
     }
 }
 
-/// The standing as the desk tells it, and a line of it where that is news to the marshal.
+/// The rollout state of a service with its version. Records it in the trace if it is new to the marshal.
 fn standing(town: &mut Town, now: Duration, marshal: u32, service: &str) -> Option<(u64, Value)> {
     let one = town.services.get(service)?;
     let ((build, stage, course, cap), index) = (one.news, one.index[1]);
@@ -260,7 +262,7 @@
     Some(http::answer(200, &[], &json!({"counted": "counts", "stage": stage?.1}).to_string()))
 }
 
-/// The numbers of try, call and key, as the client wrote them.
+/// Attempt, call and key, as the client wrote them.
 fn traced(message: &Message) -> Option<(u64, u64, u64)> {
     let mut parts = message.field("ivydrift-trace")?.split('.').map(|p| p.parse().ok());
     Some((parts.next()??, parts.next()??, parts.next()??))
@@ -296,7 +298,7 @@
         }
     }
     let fine = deed == Deed::Answers && !door.closed() && !left(out);
-    // Its line must stand before the marshal can act on it.
+    // Record the event before the marshal can react to the answer.
     shared.with(|town, now| town.say(now, "", Seen::Done { node, id, ok: fine }));
     fine.then(|| http::answer(200, &[], &format!("build {} node {node}\n", plan.build)))
 }
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -1,5 +1,5 @@
-//! A day in virtual time: the marshals' real core and module, and the town, in a simulated network. Seeded and
-//! the same every time, hundreds of times faster than the clock.
+//! Runs a day in virtual time: the real core and decision module of the marshals, and the fakes, in a simulated
+//! network. Deterministic for a given seed, and hundreds of times faster than real time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -18,27 +18,30 @@
 use crate::tally::Phase;
 use crate::town::{Arrival, Ask, Do, End, Fate, Town};
 
-/// Marshals' zero lies a day before the day begins, as in the shell.
+/// The marshals' clock starts this long before the run, as it does in the real process.
 const BEFORE: Duration = Duration::from_secs(86_400);
+/// Unix time at the begin of the run, in milliseconds.
 const ZERO_MS: u64 = 1_000_000_000_000;
-/// How far apart in time a client, a marshal and a node may see one thing here.
+/// How far apart in time a client, a marshal and a node may see the same event.
 pub const SLACK: Duration = Duration::from_millis(10);
+/// Interval at which the script is advanced.
 const STEP: Duration = Duration::from_millis(5);
 
-/// What came of a day.
+/// The result of a run.
 pub struct Outcome {
     pub report: Report,
     pub phases: Vec<Phase>,
-    /// How each build stood, and when.
+    /// Every state of the rollouts, and when it began.
     pub course: Vec<(Duration, Standing)>,
+    /// Votes that were counted.
     pub votes: u64,
-    /// Counts of the marshals' processes that lived to the end.
+    /// Attempt accounting of the marshal processes that lived to the end.
     pub counts: Vec<Counts>,
-    /// The trace, where it was asked for.
+    /// The trace, if requested.
     pub lines: Vec<Line>,
 }
 
-/// What a marshal is told, with all it holds.
+/// An input for a marshal, with the data it owns.
 #[derive(Clone, Debug)]
 enum Told {
     Rpc(Ask),
@@ -52,6 +55,7 @@
     Tick,
 }
 
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Ev {
     Step,
@@ -68,7 +72,7 @@
         node: u32,
         rpc: Arrival,
     },
-    /// What a node does with an RPC at its time.
+    /// A node finishes with an RPC.
     Fate {
         from: usize,
         life: u32,
@@ -77,17 +81,19 @@
         node: u32,
         fate: Fate,
     },
-    /// A pick's time is over.
+    /// A pick's deadline passed.
     Late {
         from: usize,
         life: u32,
         id: Id,
         pick: usize,
     },
+    /// A node sees that the marshal closed a connection.
     Closed {
         node: u32,
         id: Id,
     },
+    /// A marshal's long poll of the node list (`list`) or the rollout controller is checked for news.
     Poll {
         marshal: usize,
         life: u32,
@@ -99,6 +105,7 @@
         life: u32,
         vote: Vote,
     },
+    /// An answer, or the end of the connection, reaches the client.
     AtClient {
         id: Id,
         end: End,
@@ -111,20 +118,25 @@
     },
 }
 
+/// A marshal process.
 struct Host {
     core: Option<Core>,
+    /// Counts restarts: events meant for an earlier process are dropped.
     life: u32,
     stopped: bool,
-    /// What came while it stood still.
+    /// Inputs that arrived while the process was suspended.
     inbox: Vec<Told>,
     watching: bool,
+    /// Version of the latest answer, from the rollout controller and from the node list.
     index: [u64; 2],
-    /// Picks out: the node of each, and the try's client data.
+    /// The nodes of the picks in flight.
     picks: HashMap<(Id, usize), u32>,
     asks: HashMap<Id, Ask>,
+    /// When the next timer is due.
     ticks: Option<Duration>,
 }
 
+/// The state of the simulation.
 pub struct Sim {
     town: Town,
     hosts: Vec<Host>,
@@ -134,9 +146,9 @@
     now: Duration,
     rng: StdRng,
     ports: HashMap<u16, u32>,
-    /// Tries that have ended for their clients.
+    /// Attempts that have ended for their clients.
     over: HashSet<Id>,
-    /// When clients are next looked at.
+    /// When the next client attempt is due.
     asks_at: Option<Duration>,
 }
 
@@ -146,10 +158,10 @@
     Addresses { listen: at(7100), node_list: at(7001), release_desk: at(7002), peers }
 }
 
-/// Plays a day. `keep` keeps its trace.
+/// Runs a day. `keep` returns its trace as well.
 ///
 /// # Errors
-/// When the day's terms are wrong, or the trace is not one.
+/// When a marshal's config is invalid, or the trace is malformed.
 pub fn run(day: Day, keep: bool) -> Result<Outcome, String> {
     let lasts = day.lasts;
     let seed = day.seed;
@@ -218,7 +230,7 @@
         self.queue.push(Reverse((t.max(self.now), self.seq)));
     }
 
-    /// One way between two places.
+    /// A random one-way network delay.
     fn way(&mut self, far: bool) -> Duration {
         let traffic = &self.town.day.traffic;
         let mean = if far { traffic.far } else { traffic.near };
@@ -363,7 +375,7 @@
         }
     }
 
-    /// A node is gone: whatever it holds breaks.
+    /// A node is gone: all its connections break.
     fn shut(&mut self, node: u32) {
         for from in 0..self.hosts.len() {
             let mut held: Vec<(Id, usize)> =
@@ -391,7 +403,7 @@
             Do::Continue(marshal) => {
                 self.hosts[marshal].stopped = false;
                 let inbox = std::mem::take(&mut self.hosts[marshal].inbox);
-                // As the shell does: it looks first for clients that have left.
+                // The real process checks first which clients have disconnected; so does this.
                 let left: HashSet<Id> = inbox
                     .iter()
                     .filter_map(|t| if let Told::Left(id) = t { Some(*id) } else { None })
@@ -432,7 +444,7 @@
         let hold = Duration::from_secs(if list { 10 } else { 5 });
         let must = self.now >= since + hold;
         let down = if list { self.town.list_down() } else { self.town.desk_down() };
-        // A process that stands still asks nothing; an answer on its way waits in its sockets.
+        // A suspended process does not poll; an answer under way waits in its socket.
         if self.hosts[marshal].stopped || (down && !list) {
             self.at(self.now + Duration::from_millis(50), again(self.now));
             return;
@@ -462,7 +474,7 @@
     fn tell(&mut self, marshal: usize, told: Told) {
         let host = &mut self.hosts[marshal];
         if host.stopped {
-            // Timers fire once on waking.
+            // Missed timers fire once when the process resumes.
             if !matches!(told, Told::Tick) {
                 host.inbox.push(told);
             }
@@ -502,7 +514,7 @@
         };
         let due = core.due().saturating_sub(BEFORE);
         if let Some((node, id, Saw::TimedOut | Saw::Severed)) = gone {
-            // We close: the node sees it a little later.
+            // The marshal closes the connection; the node sees that after the network delay.
             let way = self.way_to_node(marshal, node);
             self.at(self.now + way, Ev::Closed { node, id });
         }
@@ -542,7 +554,7 @@
                 return;
             }
             Order::Tell { to, datagram } => {
-                // Datagrams are lost now and then.
+                // 2 % of the datagrams are lost.
                 if self.rng.random_bool(0.98) {
                     let (way, life) = (self.way(true), self.hosts[to].life);
                     self.at(self.now + way, Ev::Tell { to, life, told: Told::Peer(datagram) });
--- a/crates/standin/src/sums.rs
+++ b/crates/standin/src/sums.rs
@@ -1,23 +1,23 @@
-//! The platform's tallies: of a sample of all picks, how many there were of each build and method in one past
-//! period, how many failed, and how long the others took. All marshals are told the same, late.
+//! Sampled statistics of the platform: for each build and method, how many picks of the sample ended in a past
+//! period, how many of them failed, and how long the others took. All marshals get the same figures, with a delay.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
 use ivydrift_wire::desk::Sums;
 
-/// How the platform counts.
+/// How the platform samples picks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tally {
-    /// Length of a period; zero where nothing is counted.
+    /// Length of a period; zero disables the statistics.
     pub every: Duration,
     /// Share of the picks in the sample.
     pub share: f64,
-    /// How long after its end a period is told.
+    /// How long after its end a period is reported.
     pub late: Duration,
 }
 
-/// Periods kept for marshals that ask late.
+/// Ended periods kept for marshals that poll late.
 const KEPT: usize = 8;
 
 #[derive(Clone, Copy, Default)]
@@ -34,22 +34,25 @@
     counts: BTreeMap<(u32, usize), Count>,
 }
 
+/// The statistics of all periods, and which marshal has seen which.
 #[derive(Default)]
 pub struct Tallies {
-    /// Picks of the sample that are at nodes: build, method, since when.
+    /// Sampled picks in flight, by node and attempt: build, method and start.
     held: HashMap<(u32, u64), (u32, usize, Duration)>,
     now: BTreeMap<(u32, usize), Count>,
     number: u64,
     past: VecDeque<Period>,
-    /// The latest period that each marshal was told.
+    /// The latest period reported to each marshal.
     told: HashMap<usize, u64>,
 }
 
 impl Tallies {
+    /// A sampled pick reached a node.
     pub fn begin(&mut self, node: u32, id: u64, build: u32, method: usize, at: Duration) {
         self.held.insert((node, id), (build, method, at));
     }
 
+    /// A pick ended; one outside the sample is ignored.
     pub fn end(&mut self, node: u32, id: u64, at: Duration, ok: bool) {
         let Some((build, method, since)) = self.held.remove(&(node, id)) else { return };
         let count = self.now.entry((build, method)).or_default();
@@ -73,7 +76,7 @@
         }
     }
 
-    /// What a marshal has not been told yet and can be now.
+    /// The periods that are due for a marshal and that it has not seen.
     pub fn tell(&mut self, now: Duration, marshal: usize, late: Duration, names: &[&str]) -> Vec<Sums> {
         let known = self.told.get(&marshal).copied().unwrap_or(0);
         let due = |p: &&Period| p.number > known && p.ended + late <= now;
@@ -95,7 +98,7 @@
         sums
     }
 
-    /// A marshal that starts anew has been told nothing.
+    /// A restarted marshal has seen no period.
     pub fn forget(&mut self, marshal: usize) {
         self.told.remove(&marshal);
     }
@@ -113,7 +116,7 @@
             tallies.begin(1, id, 2, 0, s(1));
             tallies.end(1, id, s(2), id != 0);
         }
-        // At its node when the period ends: it counts in the next.
+        // Still in flight at the end of the period: it counts in the next one.
         tallies.begin(1, 10, 2, 0, s(4));
         tallies.step(s(5), s(5));
         assert!(tallies.tell(s(5), 0, s(1), &["read"]).is_empty());
--- a/crates/standin/src/tally.rs
+++ b/crates/standin/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a day looked like to its clients, phase by phase.
+//! Client-side statistics of a run, by phase.
 
 use std::time::Duration;
 
@@ -8,28 +8,31 @@
 
 use crate::desk::Standing;
 
-/// A stretch of the day and what came of the RPCs that were asked in it.
+/// A phase of the day, and the results of the RPCs that began in it.
 pub struct Phase {
     pub from: Duration,
     pub to: Duration,
+    /// The active faults, or "quiet".
     pub label: String,
     pub asked: u64,
     pub ok: u64,
+    /// Ok answers after the soft deadline.
     pub late: u64,
     pub pushed_back: u64,
     pub aborted: u64,
-    /// Without an answer: connection refused or lost, time up, or left.
+    /// Without an answer: connection refused or lost, deadline passed, or cancelled.
     pub none: u64,
     pub picks: u64,
-    /// Votes that counted: on, hold, back.
+    /// Votes that were counted: to promote, to hold, to roll back.
     pub votes: [u64; 3],
-    /// Times of ok answers in microseconds.
+    /// Latencies of ok answers, in microseconds.
     pub times: Histogram<u64>,
 }
 
 impl Phase {
+    /// Creates a phase without results.
     pub fn new(from: Duration, to: Duration, label: String) -> Self {
-        // Three digits from a microsecond to a minute: the bounds are right, so this cannot fail.
+        // Constant valid bounds: 1 us to 1 min, with three significant digits.
         let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a histogram");
         Phase {
             from,
@@ -47,6 +50,7 @@
         }
     }
 
+    /// Counts an answer. `soft`: the soft deadline.
     pub fn answered(&mut self, kind: Kind, took: Duration, soft: Duration, picks: u32) {
         self.picks += u64::from(picks);
         match kind {
@@ -60,6 +64,7 @@
         }
     }
 
+    /// Counts a vote.
     pub fn voted(&mut self, verdict: Verdict) {
         match verdict {
             Verdict::On => self.votes[0] += 1,
@@ -69,12 +74,12 @@
         }
     }
 
-    /// The newest build's standing at the phase's end.
+    /// The state of the latest rollout at the end of the phase.
     pub fn stands<'a>(&self, course: &'a [(Duration, Standing)]) -> Option<&'a Standing> {
         course.iter().rev().find(|c| c.0 < self.to).map(|c| &c.1)
     }
 
-    /// A quantile of the times of ok answers.
+    /// A quantile of the latencies of ok answers.
     pub fn quantile(&self, q: f64) -> Duration {
         Duration::from_micros(if self.times.is_empty() { 0 } else { self.times.value_at_quantile(q) })
     }
--- a/crates/standin/src/town.rs
+++ b/crates/standin/src/town.rs
@@ -1,6 +1,6 @@
-//! The whole town of stand-ins as one machine without I/O: nodes, list, desk and clients, driven by the day's
-//! script. A shell calls it whenever something happened on a socket (real or simulated) and does what it says;
-//! it writes the trace of what was seen.
+//! All fakes as one state machine without I/O: nodes, node list, rollout controller and clients, driven by the
+//! script. The caller reports what happened on its sockets (real or simulated) and carries out the returned
+//! commands. The state machine writes the trace.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -20,20 +20,24 @@
 use crate::sums::Tallies;
 use crate::tally::Phase;
 
-/// What the shell must do.
+/// A command for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Do {
-    /// A node is to listen; tell [`Town::opened`].
+    /// Make a node listen, then call [`Town::opened`].
     Open(u32),
-    /// A node is gone, with all its connections.
+    /// Stop a node and break all its connections.
     Shut(u32),
+    /// Suspend a marshal.
     Stop(usize),
+    /// Resume a marshal.
     Continue(usize),
+    /// Kill a marshal.
     Kill(usize),
+    /// Start a marshal.
     Start(usize),
 }
 
-/// An RPC as it came to a node.
+/// An RPC that arrived at a node.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: u64,
@@ -43,22 +47,18 @@
     pub key: u64,
 }
 
-/// What a node makes of an RPC.
+/// How a node handles an RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fate {
-    /// Nothing, ever.
+    /// It never answers.
     Silence,
-    /// The connection breaks then, without an answer.
+    /// The connection breaks at this time, without an answer.
     Cut(Duration),
-    Answer {
-        at: Duration,
-        status: u16,
-        never_ran: bool,
-        load: Metrics,
-    },
+    /// It answers at time `at`.
+    Answer { at: Duration, status: u16, never_ran: bool, load: Metrics },
 }
 
-/// A try of a client.
+/// An attempt of a client at a marshal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     pub id: u64,
@@ -66,13 +66,15 @@
     pub marshal: usize,
     pub method: usize,
     pub key: u64,
-    /// How long it will wait, and whether it will leave without a word before.
+    /// Time until the client's deadline.
     pub left: Duration,
+    /// When the client cancels, if it does.
     pub leaves: Option<Duration>,
+    /// The number of this attempt, from 1.
     pub tries: u32,
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
     Answered { kind: Answer, build: u32, picks: u32, retry_after: Duration },
@@ -82,17 +84,20 @@
     Left,
 }
 
+/// A client's RPC, with all its attempts: its start, its deadline and the phase that it counts in.
 struct Call {
     first: Duration,
     until: Duration,
     phase: usize,
 }
 
+/// An attempt in flight.
 struct Open {
     ask: Ask,
     at: Duration,
 }
 
+/// The state of all fakes.
 pub struct Town {
     pub day: Day,
     rng: StdRng,
@@ -100,38 +105,51 @@
     lines: Vec<Line>,
     pub nodes: Vec<Node>,
     pub desk: Desk,
+    /// Nodes wanted for the present rollout stage.
     wanted: usize,
-    /// Lists with their index and time, oldest first.
+    /// Versions of the node list with time and index, oldest first.
     lists: VecDeque<(Duration, u64, Vec<Listed>)>,
+    /// By marshal: the node states it was told.
     told: HashMap<usize, BTreeMap<u32, State>>,
+    /// By marshal: the rollout state it was told.
     newsed: HashMap<usize, (u32, u32, Course, f64)>,
+    /// Wrong answers that clients will report: when, and to which marshal.
     disputes: Vec<(Duration, usize, Disputed)>,
     tallies: Tallies,
-    /// Troubles that have begun, and ended; the nodes that each struck.
+    /// Indexes of the faults that have begun.
     begun: BTreeSet<usize>,
+    /// Indexes of the faults that have ended.
     ended: BTreeSet<usize>,
+    /// By fault: the nodes that it affects.
     struck: HashMap<usize, BTreeSet<u32>>,
+    /// By call: when its token was first seen.
     tokens: HashMap<u64, Duration>,
+    /// Builds of the RPCs of the last two seconds.
     lately: VecDeque<(Duration, u32)>,
+    /// When the next new call comes.
     next: Duration,
+    /// Scheduled retries, by time and call.
     again: BTreeMap<(Duration, u64), Ask>,
     calls: HashMap<u64, Call>,
     open: HashMap<u64, Open>,
-    /// Calls that the client library carries, each with whether its client has left.
+    /// Calls made through the client library, and whether their client has cancelled.
     carried: HashMap<u64, (Ask, bool)>,
     ids: u64,
+    /// The phases of the day and their statistics.
     pub phases: Vec<Phase>,
+    /// Unix time at the begin of the run.
     pub unix_zero_ms: u64,
+    /// Builds of the script whose rollout has begun.
     offered: usize,
 }
 
 impl Town {
-    /// `unix_zero_ms`: Unix time at the day's begin, for the start times that the list shows.
+    /// `unix_zero_ms`: Unix time at the begin of the run, for the start times in the node list.
     pub fn new(day: Day, unix_zero_ms: u64, slack: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(day.seed);
         let mut nodes = Vec::new();
         for i in 0..day.fleet.nodes {
-            // Machines are dealt out by their shares, zones in turn.
+            // Machine types are assigned by their shares, zones in rotation.
             let mut at = (i as f64 + 0.5) / day.fleet.nodes as f64;
             let machine = day.fleet.machines.iter().position(|m| {
                 at -= m.share;
@@ -177,7 +195,7 @@
         }
     }
 
-    /// Lines of the trace since the last call, in the order of time.
+    /// Takes the trace lines since the last call, in order of time.
     pub fn lines(&mut self) -> Vec<Line> {
         std::mem::take(&mut self.lines)
     }
@@ -186,7 +204,7 @@
         self.lines.push(Line::new(self.now.as_micros() as u64, seen));
     }
 
-    /// Time never runs backwards, whatever thread's clock was read first.
+    /// Advances the time. Threads may report out of order, so an earlier time is ignored.
     fn at(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
@@ -204,9 +222,9 @@
         &self.day.methods[method]
     }
 
-    // ---- the script ---------------------------------------------------------------------------------------
+    // ---- script -------------------------------------------------------------------------------------------
 
-    /// Moves the day on: what the script, the desk and starting nodes bring. Call it every few milliseconds.
+    /// Advances the script, the rollout controller and starting nodes. Call it every few milliseconds.
     pub fn step(&mut self, now: Duration) -> Vec<Do> {
         self.at(now);
         let mut todo = Vec::new();
@@ -223,7 +241,7 @@
             let node = &mut self.nodes[number as usize];
             match node.life {
                 Life::Starting(at) if self.now >= at => {
-                    // It runs when the shell says that it listens.
+                    // It is up once the caller reports that it listens.
                     node.life = Life::Gone;
                     todo.push(Do::Open(number));
                 }
@@ -236,7 +254,7 @@
         todo
     }
 
-    /// A node listens now.
+    /// Reports that a node listens.
     pub fn opened(&mut self, now: Duration, number: u32, port: u16) {
         self.at(now);
         let first = self.now < Duration::from_millis(500);
@@ -339,7 +357,7 @@
         let (up, left) =
             (mine().filter(|n| n.life == Life::Up).count(), mine().filter(|n| n.life != Life::Gone).count());
         if release.in_place && self.desk.standing.course == Course::OnTrial {
-            // Each node of the earlier build leaves once its successor runs.
+            // A node of the earlier build leaves once its replacement runs.
             let (earlier, places) = (self.desk.earlier, self.day.fleet.nodes);
             let old = self.nodes.iter().filter(|n| n.build == earlier && n.life == Life::Up).count();
             let leaving = (old + up).saturating_sub(places);
@@ -431,15 +449,18 @@
         Duration::from_secs_f64(self.much(Kind::LateReports))
     }
 
+    /// Whether the node list is down.
     pub fn list_down(&self) -> bool {
         self.active(Kind::ListDown).next().is_some()
     }
 
+    /// Whether the rollout controller is down.
     pub fn desk_down(&self) -> bool {
         self.active(Kind::DeskDown).next().is_some()
     }
 
-    /// The list where it is newer than the index that the marshal has, or where it must be told at `must`.
+    /// The node list, if it is newer than the marshal's index. `must`: the wait of the long poll is over, so answer
+    /// in any case.
     pub fn list(
         &mut self, now: Duration, marshal: usize, index: u64, must: bool,
     ) -> Option<(u64, Vec<Listed>)> {
@@ -463,7 +484,7 @@
         Some((at, nodes))
     }
 
-    // ---- release desk -------------------------------------------------------------------------------------
+    // ---- rollout controller -------------------------------------------------------------------------------
 
     fn told_stage(&mut self, marshal: usize, standing: &Standing) -> Stage {
         let Standing { build, stage, course, cap, .. } = *standing;
@@ -481,7 +502,8 @@
         standing.told(self.now)
     }
 
-    /// The desk's news where it is newer than what the marshal has, or must be told.
+    /// The rollout state, if it is newer than the marshal's index or there is other news. `must`: as for
+    /// [`Town::list`].
     pub fn news(&mut self, now: Duration, marshal: usize, index: u64, must: bool) -> Option<News> {
         self.at(now);
         let (version, standing) = self.desk.as_told(self.now, self.day.desk_lag + self.lag());
@@ -499,7 +521,7 @@
         Some(News { index: version, stage, sums, disputed })
     }
 
-    /// A vote came in. None where the desk does not answer; it may have counted.
+    /// Handles a vote. `None`: the controller does not answer, but the vote may have been counted.
     pub fn vote(&mut self, now: Duration, vote: Vote) -> Option<VoteAnswer> {
         self.at(now);
         let down = self.desk_down();
@@ -516,7 +538,7 @@
             self.phases[phase].voted(vote.verdict);
         }
         let standing = self.desk.standing;
-        // The standing is read only where it counts, and so it is told only then.
+        // A marshal reads the state from the answer to a counted vote only; the trace records only that.
         let stage = match counted {
             Counted::Counts => self.told_stage(vote.marshal as usize, &standing),
             _ => standing.told(self.now),
@@ -526,17 +548,18 @@
 
     // ---- nodes --------------------------------------------------------------------------------------------
 
+    /// The severity of an active fault of this kind that affects the node.
     pub fn is_struck(&self, kind: Kind, node: u32) -> Option<f64> {
         let hit = |t: &(usize, &Trouble)| self.struck.get(&t.0).is_some_and(|s| s.contains(&node));
         self.active(kind).find(hit).map(|t| t.1.much)
     }
 
-    /// Nodes close idle connections after this.
+    /// How long nodes keep idle connections, if they close them.
     pub fn reap_after(&self) -> Option<Duration> {
         self.active(Kind::IdleReap).next().map(|t| Duration::from_secs_f64(t.1.much))
     }
 
-    /// A node read an RPC. None where it is gone.
+    /// A node read an RPC. `None` if the node is gone.
     pub fn arrive(&mut self, now: Duration, number: u32, rpc: &Arrival) -> Option<(Fate, Vec<Do>)> {
         self.at(now);
         let now = self.now;
@@ -568,7 +591,7 @@
             self.die(number, &mut todo);
             return Some((Fate::Cut(now), todo));
         }
-        // How much slower all is for the reasons that the script has.
+        // The factor by which active faults slow this RPC down.
         let mut slower = 1.0 + self.active(Kind::SharedSlow).map(|t| t.1.much - 1.0).sum::<f64>();
         slower *= self.is_struck(Kind::Neighbour, number).unwrap_or(1.0);
         let slow_method = self.active(Kind::SlowMethod).find(|t| t.1.method == Some(rpc.method));
@@ -662,7 +685,7 @@
         }
     }
 
-    /// A node's answer is written, or the marshal was seen to close.
+    /// A node wrote its answer, or saw the marshal close the connection.
     pub fn done(&mut self, now: Duration, node: u32, id: u64, ok: bool) {
         self.at(now);
         self.tallies.end(node, id, self.now, ok);
@@ -671,19 +694,19 @@
 
     // ---- clients ------------------------------------------------------------------------------------------
 
-    /// When the next try is due; none once the day's traffic is over.
+    /// When the next attempt is due; `None` once the traffic is over.
     pub fn next_ask(&self) -> Option<Duration> {
         let fresh = Some(self.next).filter(|&t| t < self.traffic_ends());
         fresh.into_iter().chain(self.again.keys().next().map(|k| k.0)).min()
     }
 
-    /// Clients fall silent before the day's end, so that every try ends within it.
+    /// Traffic stops before the end of the run, so that every attempt ends within it.
     pub fn traffic_ends(&self) -> Duration {
         let longest = self.day.methods.iter().map(|m| m.1.deadline).max().unwrap_or_default();
         self.day.lasts.saturating_sub(longest + Duration::from_millis(500))
     }
 
-    /// The tries that are due, each now in its client's hand.
+    /// Starts the attempts that are due.
     pub fn asks(&mut self, now: Duration) -> Vec<Ask> {
         self.at(now);
         let mut due = Vec::new();
@@ -705,7 +728,7 @@
         due
     }
 
-    /// Calls that are due, for clients that make tries by the library: it says when one goes out.
+    /// Starts the calls that are due, for clients that use the client library, which makes the attempts.
     pub fn calls(&mut self, now: Duration) -> Vec<Ask> {
         self.at(now);
         let mut due = Vec::new();
@@ -719,7 +742,7 @@
         due
     }
 
-    /// A try of a carried call goes out to a marshal. Tells its number, and the subject of the call.
+    /// The library sends an attempt of a call to a marshal. Returns the attempt's id and the call's key.
     pub fn sent(&mut self, now: Duration, call: u64, marshal: usize, left: Duration) -> Option<(u64, u64)> {
         self.at(now);
         let (mut ask, _) = self.carried.get(&call).cloned()?;
@@ -732,7 +755,7 @@
         Some((id, key))
     }
 
-    /// A try of a carried call ended.
+    /// An attempt made by the library ended.
     pub fn tried(&mut self, now: Duration, id: u64, end: End) {
         self.at(now);
         let Some(open) = self.open.remove(&id) else { return };
@@ -740,7 +763,7 @@
         self.log(seen(id, if left { End::Left } else { end }));
     }
 
-    /// The client of a carried call is about to leave.
+    /// The client is about to cancel a call made through the library.
     pub fn leaving(&mut self, now: Duration, call: u64) {
         self.at(now);
         if let Some(carried) = self.carried.get_mut(&call) {
@@ -748,7 +771,7 @@
         }
     }
 
-    /// A carried call ended for its client.
+    /// A call made through the library ended for its client.
     pub fn finished(&mut self, now: Duration, call: u64, end: End) {
         self.at(now);
         if let Some((ask, _)) = self.carried.remove(&call) {
@@ -770,7 +793,7 @@
         }
     }
 
-    /// Sets when the next call comes.
+    /// Draws the time of the next call.
     fn pass_to_next(&mut self) {
         let burst: f64 = self.active(Kind::Burst).map(|t| t.1.much).product();
         let gap = Exp::new(self.day.traffic.rate * burst).map_or(1.0, |e| e.sample(&mut self.rng));
@@ -802,7 +825,7 @@
         Ask { id: 0, call, marshal, method, key, left, leaves, tries: 1 }
     }
 
-    /// The phase that runs now.
+    /// The index of the present phase.
     fn phase(&self) -> usize {
         self.phases.iter().position(|p| self.now < p.to).unwrap_or(self.phases.len() - 1)
     }
@@ -812,7 +835,7 @@
         (much > 0.0 && self.rng.random_bool(much)).then(|| left.mul_f64(self.rng.random_range(0.02..0.5)))
     }
 
-    /// A try ended. The client may try again by itself, within what its method allows.
+    /// An attempt ended. The client may retry, if the method allows it.
     pub fn ended(&mut self, now: Duration, id: u64, end: End) {
         self.at(now);
         let Some(open) = self.open.remove(&id) else { return };
@@ -838,7 +861,7 @@
         };
         let start = self.now + wait;
         let room = until.saturating_sub(start) > Duration::from_millis(50);
-        // The nodes drop a repeat only while they know the token.
+        // Nodes drop a repeat only while they remember its token.
         let known = !matches!(terms.repeat, Repeat::Tokened { .. }) || within;
         if again && room && known && ask.tries <= self.day.traffic.retries && start < self.traffic_ends() {
             ask.tries += 1;
@@ -853,7 +876,7 @@
         self.close(&ask, at, end);
     }
 
-    /// Enters what came of a call, since when its client waited, into its phase.
+    /// Counts the end of a call in its phase. `since`: when its client began to wait.
     fn close(&mut self, ask: &Ask, since: Duration, end: End) {
         let Some(call) = self.calls.remove(&ask.call) else { return };
         let soft = self.method(ask.method).1.soft_deadline;
@@ -864,17 +887,19 @@
         }
     }
 
+    /// Bytes arrived after the final answer of an attempt.
     pub fn extra(&mut self, now: Duration, id: u64) {
         self.at(now);
         self.log(Seen::Extra { id });
     }
 
+    /// A marshal was asked to shut down.
     pub fn told_to_stop(&mut self, now: Duration, marshal: usize) {
         self.at(now);
         self.log(Seen::Marshal { marshal: marshal as u32, turn: Turn::Told });
     }
 
-    /// Tries that have no end yet.
+    /// Attempts in flight.
     pub fn in_hand(&self) -> usize {
         self.open.len()
     }
@@ -890,7 +915,7 @@
     }
 }
 
-/// The day in stretches between the begins and ends of its troubles, none shorter than two seconds.
+/// Splits the day where faults begin or end and rollouts begin, into phases of at least two seconds.
 fn phases(day: &Day) -> Vec<Phase> {
     let mut cuts: Vec<Duration> = day.troubles.iter().flat_map(|t| [t.at, t.at + t.lasts]).collect();
     cuts.extend(day.offers.iter().map(|o| o.at));
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The checker can fail: a trace that is right, with one line changed, is found wrong by the rule concerned.
+//! Mutation tests of the checker: a correct trace passes, and after one change to it the rule concerned fails.
 
 use ivydrift_audit::trace::{Course, Kind, Line, Repeat, Seen, State};
 use ivydrift_audit::{Auditor, Report};
@@ -53,7 +53,7 @@
     (Change::CapWithdrawn, 4),
 ];
 
-/// The nth line (counted round) that the change can be made to, changed. None where there is none.
+/// Applies the change to the nth line (modulo their number) that it fits; `None` if it fits no line.
 fn changed(change: Change, nth: usize) -> Option<Vec<Line>> {
     let mut lines = trace().to_vec();
     let Seen::Law(law) = lines[0].seen.clone() else { panic!("no law") };
@@ -75,7 +75,7 @@
             method_of(*id).is_some_and(|m| kind(&m) == Repeat::NonIdempotent)
         }
         (Change::ToldToLeaveBefore, Seen::Got { .. }) => line.t > 4_000_000,
-        // One that never had two picks together while cold would have borne them at any size.
+        // The heaviest pick is always allowed, so the node must have got two picks within the window while cold.
         (Change::WeakerNode, Seen::Up { node, .. }) => {
             let cold = line.t..line.t + law.warm_us;
             let got = |l: &&Line| matches!(&l.seen, Seen::Got { node: n, .. } if n == node);
@@ -126,7 +126,7 @@
         (Change::ToldToLeaveBefore, Seen::Got { marshal, node, .. }) => {
             let t = line.t - law.drain_grace_us - law.slack_us - 1000;
             insert(&mut lines, t, Seen::Told { marshal, node, state: State::Draining });
-            // Said again later, as if it had been so all along.
+            // The real notice stays; a repeated notice must not restart the grace period.
         }
         (Change::WeakerNode, Seen::Up { node, build, capacity }) => {
             lines[at].seen = Seen::Up { node, build, capacity: capacity / 200.0 };
--- a/crates/standin/tests/days.rs
+++ b/crates/standin/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days in virtual time, through the checker of the trace.
+//! Runs in virtual time whose traces must pass the checker.
 
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
         for _ in 0..rng.random_range(1..6) {
             let (kind, least, most) = kinds[rng.random_range(0..kinds.len())];
             let (at, lasts) = (rng.random_range(2.0..20.0), rng.random_range(0.5..8.0));
-            // Two stalls or deaths of one marshal must not overlap: the script says nothing of what that means.
+            // Overlapping suspensions or kills of one marshal are undefined in a script, so allow one of them only.
             let alone = matches!(kind, Kind::Stall | Kind::Kill);
             if alone && day.troubles.iter().any(|t| matches!(t.kind, Kind::Stall | Kind::Kill)) {
                 continue;
@@ -121,7 +121,7 @@
 #[test]
 fn twice_the_capacity_is_pushed_back_at_once_and_memory_stays_flat() {
     let mut day = quiet(3, 20);
-    // 16 nodes do about 220 RPCs of 60 ms a second.
+    // 16 nodes serve about 220 RPCs of 60 ms per second.
     day.traffic.rate = 450.0;
     day.traffic.retries = 0;
     let outcome = play(day);
@@ -145,10 +145,10 @@
     let outcome = play(day);
     let late = outcome.phases.iter().filter(|p| p.from >= Duration::from_secs(6));
     let (asked, ok) = late.fold((0, 0), |(a, o), p| (a + p.asked, o + p.ok));
-    // Before it is back, only those that still wait when it comes can be served.
+    // Before the list is back, only RPCs that still wait when it returns can be served.
     let early = outcome.phases.iter().filter(|p| p.to <= Duration::from_secs(6));
     let (waited, served) = early.fold((0, 0), |(a, o), p| (a + p.asked, o + p.ok));
-    // Deadlines are 3 s of the 6 s: not half of them, and the sooner the list is asked again the nearer to that.
+    // With deadlines of 3 s and an outage of 6 s that is less than half; a prompt reconnect comes close to half.
     assert!(waited > 100 && served * 5 < waited * 2, "{served} of {waited}");
     assert!(ok * 10 > asked * 8, "{ok} of {asked} ok once the list is back");
 }
@@ -188,7 +188,7 @@
         let mut day = bad(seed);
         day.offers.truncate(1);
         day.offers[0].much = fault;
-        // Votes get no answer from the trial's first vote on; half of them count all the same.
+        // From the first vote of the trial on, the controller answers none, but counts half of them.
         day.troubles = vec![trouble(Kind::DeskDown, 10.0, 10.0, 0.0)];
         assert_eq!(course(&play(day), 2), Some(end), "seed {seed}");
     }
--- a/crates/standin/tests/services.rs
+++ b/crates/standin/tests/services.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for many services by themselves: what list, desk and nodes say, and what they write down of it.
+//! Tests of the fakes for several services: what node list, rollout controller and nodes answer and record.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -33,7 +33,7 @@
     }
 }
 
-/// What comes back within two seconds or until the end.
+/// Sends a request and returns the answer: complete, or what arrived until the end or a pause of two seconds.
 fn ask(to: SocketAddr, first: &str, fields: &str) -> String {
     let mut stream = TcpStream::connect(to).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
@@ -117,7 +117,7 @@
 fn a_node_writes_down_what_it_got_and_did_and_the_rules_see_it() {
     let services = Services::new(law(), "town").unwrap();
     let node = services.start("cart", Plan::default()).unwrap();
-    // As a marshal that sends one RPC twice: an effect that must not happen twice does.
+    // Act as a marshal that sends a non-idempotent RPC twice, so that its effect happens twice.
     let fields = "Via: 1.1 ivydrift-3\r\nivydrift-trace: 1.7.0\r\n";
     for _ in 0..2 {
         assert!(ask(services.addr(node), "POST /cart-book", fields).ends_with("build 1 node 0\n"));
