--- a/crates/standin/src/tally.rs
+++ b/crates/standin/src/tally.rs
@@ -6,7 +6,7 @@
 use ivydrift_audit::trace::Kind;
 use ivydrift_wire::desk::Verdict;
 
-use crate::desk::Standing;
+use crate::rollout::Standing;
 
 /// A phase of the day, and the results of the RPCs that began in it.
 pub struct Phase {
