--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -69,7 +69,7 @@
     }
 
     /// The delay of each copy of a datagram; empty if it is lost.
-    pub fn carry(&mut self, now: Duration, from: usize, to: usize) -> Vec<Duration> {
+    pub fn copy_delays(&mut self, now: Duration, from: usize, to: usize) -> Vec<Duration> {
         let (mut delay, mut copies) = (Duration::ZERO, 1);
         for fault in self.faults.iter().filter(|f| f.affects(now, from, to)) {
             let rng = &mut self.rng;
@@ -119,7 +119,7 @@
     #[test]
     fn a_cut_applies_in_its_time_and_direction_only() {
         let mut links = Links::new(1, vec![fault(Harm::Cut)]);
-        let arrives = |links: &mut Links, s, from, to| !links.carry(at(s), from, to).is_empty();
+        let arrives = |links: &mut Links, s, from, to| !links.copy_delays(at(s), from, to).is_empty();
         assert!(!arrives(&mut links, 10.0, 0, 2) && !arrives(&mut links, 29.9, 1, 2));
         assert!(arrives(&mut links, 9.9, 0, 2) && arrives(&mut links, 30.0, 0, 2));
         assert!(arrives(&mut links, 15.0, 2, 0) && arrives(&mut links, 15.0, 0, 1));
@@ -130,10 +130,11 @@
     #[test]
     fn loss_duplication_and_delay_match_their_parameters() {
         let half = Links::new(5, vec![fault(Harm::Loss(0.3)), fault(Harm::Repeat(0.2))]);
-        let count = |mut links: Links| (0..10_000).map(|_| links.carry(at(12.0), 0, 2).len()).sum::<usize>();
+        let count =
+            |mut links: Links| (0..10_000).map(|_| links.copy_delays(at(12.0), 0, 2).len()).sum::<usize>();
         assert!((8200..8600).contains(&count(half)));
         let mut slow = Links::new(5, vec![fault(Harm::Delay(at(0.1)..at(0.3)))]);
-        let delays: Vec<Duration> = (0..1000).flat_map(|_| slow.carry(at(12.0), 0, 2)).collect();
+        let delays: Vec<Duration> = (0..1000).flat_map(|_| slow.copy_delays(at(12.0), 0, 2)).collect();
         assert!(delays.iter().all(|d| (at(0.1)..at(0.3)).contains(d)));
         assert!(delays.iter().any(|d| *d > at(0.28)) && delays.iter().any(|d| *d < at(0.12)));
     }
@@ -142,7 +143,7 @@
     fn a_flapping_link_is_down_and_up_alternately() {
         let mut links = Links::new(1, vec![fault(Harm::Flap(at(2.0)))]);
         let arrived: Vec<bool> =
-            (0..8).map(|i| !links.carry(at(10.5 + f64::from(i)), 0, 2).is_empty()).collect();
+            (0..8).map(|i| !links.copy_delays(at(10.5 + f64::from(i)), 0, 2).is_empty()).collect();
         assert_eq!(arrived, [false, false, true, true, false, false, true, true]);
     }
 }
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -92,7 +92,7 @@
         if let Ok((n, _)) = socket.recv_from(&mut datagram) {
             let now = started.elapsed();
             let copies = match peer::read(&datagram[..n]) {
-                Some((_, from, _)) => links.lock().unwrap().carry(now, from.into(), number),
+                Some((_, from, _)) => links.lock().unwrap().copy_delays(now, from.into(), number),
                 None => vec![Duration::ZERO],
             };
             for (copy, delay) in copies.into_iter().enumerate() {
