--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -21,7 +21,11 @@
 
 use crate::port::*;
 use crate::state::*;
-pub use {canary_analysis::HALVE, statistics::*, vote::MARGIN};
+pub use {
+    canary_analysis::HALVE,
+    statistics::*,
+    vote::{PACE_MARGIN, PACE_MARGIN_FEW_NODES, PAYOFF_MARGIN, SOUNDNESS_MARGIN},
+};
 
 /// Interval of ticks, which check waiting RPCs and silent nodes.
 pub const TICK: Duration = ms(20);
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -11,9 +11,14 @@
 const MIN_COUNTED_OUTCOMES: f64 = 30.0;
 /// Longest wait for these outcomes.
 const MAX_PROMOTE_WAIT: Duration = ms(10_000);
-/// How much worse the new arm must be: in payoff (by the design), in soundness, in pace (plus a term for few
-/// machines).
-pub const MARGIN: [f64; 4] = [0.05, 0.01, 0.16, 0.25];
+/// How much worse the new arm's payoff must be, by the design.
+pub const PAYOFF_MARGIN: f64 = 0.05;
+/// How much worse the new arm's soundness must be.
+pub const SOUNDNESS_MARGIN: f64 = 0.01;
+/// How much worse the new arm's pace must be.
+pub const PACE_MARGIN: f64 = 0.16;
+/// Added to the pace margin where machines are few, divided by the square root of their number.
+pub const PACE_MARGIN_FEW_NODES: f64 = 0.25;
 /// How long evidence must be against a build, so that trouble in the fleet shows first: when unsound; when
 /// failing by the controller's counts of both arms; when late or slow on trial; when late or slow without an
 /// older arm.
@@ -43,12 +48,12 @@
             let mean = (p[0].good + p[1].good) / (p[0].n + p[1].n).max(1e-9);
             mean * (1.0 - mean)
         };
-        let pace_margin = MARGIN[2] + MARGIN[3] / (nodes.max(1) as f64).sqrt();
+        let pace_margin = PACE_MARGIN + PACE_MARGIN_FEW_NODES / (nodes.max(1) as f64).sqrt();
         let questions: Vec<(ArmPair, f64, f64)> = (pairs.iter().chain([&soundness]))
-            .map(|p| (*p, MARGIN[1], older_variance(p)))
-            .chain([(readable, MARGIN[1], pooled_variance(&readable))])
-            .chain([(self.controller_counts, MARGIN[0], pooled_variance(&self.controller_counts))])
-            .chain([(payoff, MARGIN[0], 0.25), (pace, pace_margin, older_variance(&pace))])
+            .map(|p| (*p, SOUNDNESS_MARGIN, older_variance(p)))
+            .chain([(readable, SOUNDNESS_MARGIN, pooled_variance(&readable))])
+            .chain([(self.controller_counts, PAYOFF_MARGIN, pooled_variance(&self.controller_counts))])
+            .chain([(payoff, PAYOFF_MARGIN, 0.25), (pace, pace_margin, older_variance(&pace))])
             .collect();
         // Where few of many marshals can roll a build back, each must be more certain, as any of them may
         // err.
