--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -86,7 +86,7 @@
 /// Where a rollout stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Course {
+pub enum RolloutState {
     OnTrial,
     /// Being rolled back.
     GoingBack,
@@ -191,7 +191,7 @@
         marshal: u32,
         build: u32,
         stage: u32,
-        course: Course,
+        course: RolloutState,
         cap: f64,
     },
     /// A marshal's process changed state.
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -453,7 +453,7 @@
         open_connections: AtomicUsize::new(0),
         next_client_id: AtomicU64::new(0),
         accepting: AtomicBool::new(true),
-        pool: Pool::new(&terms.bounds, terms.rollout.limits.idle_kept),
+        pool: Pool::new(&terms.bounds, terms.rollout.limits.idle_timeout),
         guard: guard::Guard::default(),
         settings: Mutex::new(Settings::of(&terms)),
         address_generation: AtomicU64::new(0),
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{DiscoverySign, Input};
+use ivydrift_marshal::{DiscoverySignal, Input};
 use ivydrift_platform::members::LIST_BYTES;
 use ivydrift_sockets::coroutine::{go, pause};
 
@@ -156,7 +156,7 @@
         let as_of =
             if self.edge.recently_stalled() { started } else { self.edge.now().min(started + call.hold) };
         let next_within = self.edge.bounds().list_hold + CONTINUED_SLACK;
-        self.edge.dispatch(Input::Discovery(DiscoverySign::Confirmed { as_of, next_within }), 0);
+        self.edge.dispatch(Input::Discovery(DiscoverySignal::Confirmed { as_of, next_within }), 0);
     }
 
     /// Passes on what a failed call shows about discovery.
@@ -164,14 +164,14 @@
         let CallError::Query(error) = why else { return };
         let took = call.started.elapsed();
         let event = match error {
-            QueryError::Status(_) if call.continued => DiscoverySign::WentDown,
-            QueryError::Status(_) if took < IMMEDIATE_REFUSAL => DiscoverySign::Lives,
+            QueryError::Status(_) if call.continued => DiscoverySignal::ShuttingDown,
+            QueryError::Status(_) if took < IMMEDIATE_REFUSAL => DiscoverySignal::Responsive,
             QueryError::Status(_) => {
-                DiscoverySign::RefusedLate { asked: self.edge.now().saturating_sub(took) }
+                DiscoverySignal::RefusedLate { asked: self.edge.now().saturating_sub(took) }
             }
             // During an outage, calls are refused or reset; this one was accepted.
-            QueryError::TimedOut => DiscoverySign::Lives,
-            error if error.refused_connection() => DiscoverySign::Unreachable,
+            QueryError::TimedOut => DiscoverySignal::Responsive,
+            error if error.refused_connection() => DiscoverySignal::Unreachable,
             _ => return,
         };
         self.edge.dispatch(Input::Discovery(event), 0);
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -10,7 +10,7 @@
 use ivydrift_platform::desk::{self, Line};
 use ivydrift_sockets::coroutine::{go, pause, restart_on_panic};
 use ivydrift_sockets::Socket;
-use ivydrift_wire::desk::{Counted, Disputed, News, Stage, Sums, Vote, VoteAnswer};
+use ivydrift_wire::desk::{ControllerCounts, Counted, Disputed, News, Stage, Vote, VoteAnswer};
 
 use crate::dialect::Platform;
 use crate::query::backoff;
@@ -63,7 +63,7 @@
     }
 }
 
-fn make_news(stage: Option<Stage>, sums: Vec<Sums>, disputed: Vec<Disputed>) -> News {
+fn make_news(stage: Option<Stage>, sums: Vec<ControllerCounts>, disputed: Vec<Disputed>) -> News {
     News { index: 0, stage, sums, disputed }
 }
 
--- a/crates/edge/src/races.rs
+++ b/crates/edge/src/races.rs
@@ -10,7 +10,7 @@
 use ivydrift_marshal::{Call, Input, Order, Saw};
 use ivydrift_sockets::coroutine::go;
 use ivydrift_sockets::{Listener, Socket};
-use ivydrift_wire::desk::{Course, News, Stage, Verdict, Vote};
+use ivydrift_wire::desk::{News, RolloutState, Stage, Verdict, Vote};
 use ivydrift_wire::list::{Listed, State};
 
 use crate::clients::{self, Client};
@@ -280,7 +280,7 @@
     let client = Arc::new(Client::new(socket.look()));
     let node = SocketAddr::from(([127, 0, 0, 1], 9));
     edge.dispatch(Input::Membership(&[listed(node, State::Ready)]), 0);
-    let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+    let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
     edge.dispatch(Input::News(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }), 0);
     let call = Call {
         method: "calendar-read",
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{Counts, DiscoverySign, Input};
+use ivydrift_marshal::{Counts, DiscoverySignal, Input};
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::start::Start;
 use ivydrift_terms::{Places, Terms};
@@ -69,7 +69,7 @@
     /// Notes that a new config was announced, whether or not it is valid: discovery counts as heard from
     /// sooner.
     pub fn reload_announced(&self) {
-        self.edge.dispatch(Input::Discovery(DiscoverySign::Reloaded), 0);
+        self.edge.dispatch(Input::Discovery(DiscoverySignal::Reloaded), 0);
     }
 
     /// Applies a new config without a restart. No RPC in progress is lost or sent twice. If discovery or the
@@ -92,7 +92,7 @@
     fn reload(&self, terms: Terms, known_nodes: Option<&Catalog>) -> Result<(), String> {
         let (edge, new, limits) = (&self.edge, Settings::of(&terms), terms.rollout.limits);
         edge.core.lock().unwrap().renew(terms)?;
-        edge.pool.set_limits(&new.bounds, limits.idle_kept);
+        edge.pool.set_limits(&new.bounds, limits.idle_timeout);
         // An RPC accepted under the earlier config may need its longer deadline.
         let old = edge.settings();
         let longest_deadline = old.longest_deadline.max(new.longest_deadline);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ivydrift_marshal::{Ballot, DiscoverySign, Input};
+use ivydrift_marshal::{Ballot, DiscoverySignal, Input};
 use ivydrift_wire::{desk, list};
 
 use crate::dialect::Dialect;
@@ -63,7 +63,7 @@
             let Ok((_, nodes)) = &parsed else { return };
             edge.read_wall_clock();
             edge.dispatch_for(held.service_id, Input::Membership(nodes), 0);
-            let event = DiscoverySign::Confirmed { as_of: edge.now(), next_within: hold + QUERY_SLACK };
+            let event = DiscoverySignal::Confirmed { as_of: edge.now(), next_within: hold + QUERY_SLACK };
             edge.dispatch_for(held.service_id, Input::Discovery(event), 0);
         });
         if passed_on.is_none() || held.is_dropped() {
--- a/crates/facts/src/check.rs
+++ b/crates/facts/src/check.rs
@@ -56,40 +56,40 @@
     require("slot_no".into(), terms.marshal < terms.marshals, "a number below that of siblings")?;
     require("zone".into(), terms.zone < facts.zones.len().max(1), "an index into azs, from 0")?;
     require("over_share_worth".into(), terms.over_share_utility >= 0.0, "a number of 0 or more")?;
-    require("bounds.most_tries".into(), limits.most_picks >= 1, "a whole number over 0")?;
+    require("bounds.most_tries".into(), limits.max_picks >= 1, "a whole number over 0")?;
     let key = |name: &str| format!("family_info.{name}");
-    let stages = release.caps.len();
+    let stages = release.exposure_caps.len();
     require(key("exposure_caps"), stages > 0, "one cap for each stage")?;
     require(key("shares"), release.shares.len() == stages, "one share for each of the exposure_caps")?;
-    for (name, fractions) in [("exposure_caps", &release.caps), ("shares", &release.shares)] {
+    for (name, fractions) in [("exposure_caps", &release.exposure_caps), ("shares", &release.shares)] {
         require(
             key(name),
             fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction)),
             "numbers from 0 to 1",
         )?;
     }
-    require(key("free"), release.free >= 0.0, "a number of 0 or more")?;
+    require(key("free"), release.free_picks >= 0.0, "a number of 0 or more")?;
     require(key("api_rate"), release.vote_rate > 0.0, "a number over 0")?;
     require(
         "rules.cold_from".into(),
-        rules.cold_from > 0.0 && rules.cold_from <= 1.0,
+        rules.cold_start_part > 0.0 && rules.cold_start_part <= 1.0,
         "a number over 0, to 1",
     )?;
-    require("rules.fall_multiple".into(), rules.fall_multiple > 0.0, "a number over 0")?;
-    positive("rules.fall".into(), rules.fall_window)?;
-    positive(key("span"), release.window)?;
-    positive("bounds.conn_idle".into(), limits.idle_kept)?;
+    require("rules.fall_multiple".into(), rules.slow_start_multiple > 0.0, "a number over 0")?;
+    positive("rules.fall".into(), rules.slow_start_window)?;
+    positive(key("span"), release.exposure_window)?;
+    positive("bounds.conn_idle".into(), limits.idle_timeout)?;
     positive("bounds.dial_timeout".into(), facts.connect)?;
     let durations = [
         ("rules.drain_grace", rules.drain_grace),
-        ("rules.warm_within", rules.warm_within),
-        ("rules.fall", rules.fall_window),
-        ("rules.ask_within", rules.ask_within),
-        ("family_info.span", release.window),
-        ("family_info.min_dwell", release.bake),
+        ("rules.warm_within", rules.warm_up),
+        ("rules.fall", rules.slow_start_window),
+        ("rules.ask_within", rules.max_call_gap),
+        ("family_info.span", release.exposure_window),
+        ("family_info.min_dwell", release.min_stage_time),
         ("family_info.vote_stands", release.vote_life),
         ("family_info.answer_wait", release.vote_wait),
-        ("bounds.conn_idle", limits.idle_kept),
+        ("bounds.conn_idle", limits.idle_timeout),
         ("bounds.dial_timeout", facts.connect),
         ("bounds.max_retry_after", limits.retry_after.unwrap_or_default()),
     ];
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -1,4 +1,4 @@
-//! Parses the operators' start settings into [`RolloutTerms`]. Two input forms are accepted: `path=value` lines, as
+//! Parses the operators' start settings into [`RolloutConfig`]. Two input forms are accepted: `path=value` lines, as
 //! the simulator sends them, and a JSON object, as in the platform's config file. Unknown keys are ignored.
 #![forbid(unsafe_code)]
 
@@ -14,7 +14,7 @@
 
 /// Parsed start settings, with the column layout of load reports.
 pub struct Facts {
-    pub terms: RolloutTerms,
+    pub terms: RolloutConfig,
     /// Column names of a load report, in order.
     pub columns: Vec<String>,
     /// Names of methods, by the indices used in `terms`. The next three lists do the same for their kind.
@@ -211,7 +211,7 @@
     }
     let tenants = (0..settings.count("tenants")?)
         .map(|i| {
-            Ok(TenantTerms {
+            Ok(TenantConfig {
                 quota: settings.number_or_zero(&format!("tenants.{i}.quota_per_s"))?,
                 share: settings.number_or_zero(&format!("tenants.{i}.share"))?,
             })
@@ -231,34 +231,34 @@
             ))
         }
     };
-    let terms = RolloutTerms {
+    let terms = RolloutConfig {
         seed,
         marshal: settings.whole_number("slot_no")? as usize,
         marshals: settings.whole_number("siblings")? as usize,
         zone: settings.number_or_zero("zone")? as usize,
-        ask_discovery,
+        polls_discovery: ask_discovery,
         methods,
         tenants,
         over_share_utility: settings.number_or_zero("over_share_worth")?,
         warm_keys: settings.flag("family_info.warm_keys")?,
         kinds: settings.items("models").len(),
         release: release(settings)?,
-        rules: RuleTerms {
+        rules: RuleConfig {
             drain_grace: settings.duration("rules.drain_grace")?,
-            cold_from: settings.number("rules.cold_from")?,
-            warm_within: settings.duration("rules.warm_within")?,
-            fall_multiple: settings.number("rules.fall_multiple")?,
-            fall_window: settings.duration("rules.fall")?,
-            ask_within: Duration::from_micros(settings.number_or_zero("rules.ask_within")? as u64),
+            cold_start_part: settings.number("rules.cold_from")?,
+            warm_up: settings.duration("rules.warm_within")?,
+            slow_start_multiple: settings.number("rules.fall_multiple")?,
+            slow_start_window: settings.duration("rules.fall")?,
+            max_call_gap: Duration::from_micros(settings.number_or_zero("rules.ask_within")? as u64),
             list_lease: None,
         },
-        limits: LimitTerms {
-            most_picks: settings.whole_number("bounds.most_tries")? as usize,
-            second_copies: settings.flag("bounds.second_copies")?,
+        limits: LimitConfig {
+            max_picks: settings.whole_number("bounds.most_tries")? as usize,
+            hedging: settings.flag("bounds.second_copies")?,
             cancel: settings.flag("bounds.cancel")?,
             probes: settings.flag("bounds.probes")?,
             peers: settings.flag("bounds.peers")?,
-            idle_kept: settings.duration("bounds.conn_idle")?,
+            idle_timeout: settings.duration("bounds.conn_idle")?,
             retry_after,
         },
     };
@@ -285,7 +285,7 @@
     Ok(facts)
 }
 
-fn method(settings: &Settings, i: usize) -> Result<MethodTerms> {
+fn method(settings: &Settings, i: usize) -> Result<MethodConfig> {
     let key = |name: &str| format!("request_classes.{i}.{name}");
     let repeat = match settings.text(&key("idempotency"))? {
         "retryable" => Repeat::Idempotent,
@@ -301,7 +301,7 @@
         },
         other => return malformed(format!("the idempotency of class {i} is unknown: {other:?}")),
     };
-    Ok(MethodTerms {
+    Ok(MethodConfig {
         repeat,
         soft_deadline: settings.duration(&key("objective"))?,
         stretch: settings.number_or_zero(&key("aim_stretch"))?,
@@ -312,7 +312,7 @@
     })
 }
 
-fn release(settings: &Settings) -> Result<ReleaseTerms> {
+fn release(settings: &Settings) -> Result<ReleaseConfig> {
     let key = |name: &str| format!("family_info.{name}");
     let control = match settings.text(&key("control"))? {
         "any" | "share" => Control::Votes,
@@ -324,19 +324,19 @@
         "class" => true,
         other => return malformed(format!("the start setting family_info.counts is unknown: {other:?}")),
     };
-    Ok(ReleaseTerms {
+    Ok(ReleaseConfig {
         control,
-        on_votes: settings.whole_number(&key("on_votes"))? as usize,
-        back_votes: settings.whole_number(&key("votes_to_revert"))? as usize,
+        promote_votes: settings.whole_number(&key("on_votes"))? as usize,
+        rollback_votes: settings.whole_number(&key("votes_to_revert"))? as usize,
         shares: settings.numbers(&key("shares"))?,
-        caps: settings.numbers(&key("exposure_caps"))?,
-        window: settings.duration(&key("span"))?,
-        free: settings.number(&key("free"))?,
-        by_method,
+        exposure_caps: settings.numbers(&key("exposure_caps"))?,
+        exposure_window: settings.duration(&key("span"))?,
+        free_picks: settings.number(&key("free"))?,
+        exposure_by_method: by_method,
         guarded_stages: settings.number_or_zero(&key("safe_only_stages"))? as usize,
         one_way: settings.flag(&key("forward_only"))?,
         in_place: settings.text(&key("replace_mode"))? == "in_place",
-        bake: settings.duration(&key("min_dwell"))?,
+        min_stage_time: settings.duration(&key("min_dwell"))?,
         vote_life: settings.duration(&key("vote_stands"))?,
         vote_wait: settings.duration(&key("answer_wait"))?,
         vote_rate: settings.number(&key("api_rate"))?,
--- a/crates/ivydrift/src/result.rs
+++ b/crates/ivydrift/src/result.rs
@@ -6,7 +6,7 @@
 
 use ivydrift_audit::{Report, RULES};
 use ivydrift_standin::tally::Phase;
-use ivydrift_wire::desk::Course;
+use ivydrift_wire::desk::RolloutState;
 use serde_json::{json, Value};
 
 /// The rollout's states over time, as the rollout controller recorded them.
@@ -26,10 +26,10 @@
 /// Formats a rollout state in a few words.
 fn describe(s: &ivydrift_standin::Standing) -> String {
     let word = match s.course {
-        Course::OnTrial => "trial",
-        Course::GoingBack => "going back",
-        Course::Released => "released",
-        Course::Withdrawn => "withdrawn",
+        RolloutState::OnTrial => "trial",
+        RolloutState::GoingBack => "going back",
+        RolloutState::Released => "released",
+        RolloutState::Withdrawn => "withdrawn",
     };
     format!("{}, {} {word}", s.build, s.stage)
 }
--- a/crates/marshal/examples/names.rs
+++ b/crates/marshal/examples/names.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Core, Input, Order, Saw};
-use ivydrift_wire::desk::{Course, News, Stage};
+use ivydrift_wire::desk::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 
@@ -42,7 +42,7 @@
     let mut core = Core::new(terms, 0);
     let mut now = Duration::from_secs(86_400);
     core.handle(now, Input::Membership(&(0..nodes).map(node).collect::<Vec<_>>()));
-    let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+    let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
     core.handle(now, Input::News(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }));
     let after_start = resident_mb();
     let saw = Saw::Answer { status: 200, never_ran: false, load: Metrics::default() };
--- a/crates/marshal/examples/node_list.rs
+++ b/crates/marshal/examples/node_list.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Core, Input, Order, Saw};
-use ivydrift_wire::desk::{Course, News, Stage};
+use ivydrift_wire::desk::{News, RolloutState, Stage};
 use ivydrift_wire::list::{self, Listed, State};
 use ivydrift_wire::orca::Metrics;
 
@@ -36,7 +36,8 @@
             let terms = ivydrift_terms::read("known.hcl", &(text + setting)).expect("valid example config");
             let mut core = Core::new(terms, 0);
             let mut now = Duration::from_secs(86_400);
-            let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+            let stage =
+                Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
             let news = News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
             core.handle(now, Input::News(&news));
             let mut listed: Vec<Listed> = (0..count).map(node).collect();
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -7,7 +7,7 @@
 
 use ivydrift_marshal::{Call, Core, Id, Input, Order, Said, Saw, Services};
 use ivydrift_terms::{Terms, EXAMPLE};
-use ivydrift_wire::desk::{Course, News, Stage};
+use ivydrift_wire::desk::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 
@@ -113,7 +113,7 @@
     }
 
     fn news(&mut self, of: u64) {
-        let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+        let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
         self.feed(of, Input::News(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }));
     }
 
--- a/crates/marshal/src/config_update.rs
+++ b/crates/marshal/src/config_update.rs
@@ -75,12 +75,12 @@
         let old = current.rollout.methods.iter();
         let method_terms = kept_methods.into_iter().zip(old.map(Some).chain(std::iter::repeat(None)));
         let method_terms = method_terms.filter_map(|(new, old)| new.or(old.cloned())).collect();
-        let none = TenantTerms { quota: 0.0, share: 0.0 };
+        let none = TenantConfig { quota: 0.0, share: 0.0 };
         let tenant_terms = quotas.into_iter().map(|q| q.unwrap_or(none)).collect();
         let zone = zone_name.and_then(|name| zones.find(&name)).unwrap_or(0);
         let (kind_count, old) = (kinds.len(), new.rollout);
         let rollout =
-            RolloutTerms { methods: method_terms, tenants: tenant_terms, kinds: kind_count, zone, ..old };
+            RolloutConfig { methods: method_terms, tenants: tenant_terms, kinds: kind_count, zone, ..old };
         // A zone that the new config does not name is a region of its own.
         let own_region = |z: usize| zones.len() + z;
         let regions = (0..zones.len()).map(|z| kept_regions[z].unwrap_or(own_region(z))).collect();
@@ -100,7 +100,7 @@
         };
         self.method_enabled = method_enabled;
         self.directory.renew(&self.terms);
-        self.policy.renew(&self.terms.rollout);
+        self.policy.reconfigure(&self.terms.rollout);
         if let Some(peers) = &mut self.peers {
             peers.resize(&self.terms);
         }
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -50,7 +50,7 @@
     ready: usize,
     /// The subset, where the policy knows only a part of the list.
     subset: Option<Subset>,
-    visibility: Sight,
+    coverage: ListCoverage,
     /// The config has changed since the policy was last told of nodes.
     config_changed: bool,
     reuse_delay: Duration,
@@ -72,7 +72,7 @@
             positions: HashMap::new(),
             ready: 0,
             subset: Subset::new(terms),
-            visibility: Sight::default(),
+            coverage: ListCoverage::default(),
             config_changed: false,
             reuse_delay: reuse_delay(terms),
             zones: terms.zones.clone(),
@@ -127,11 +127,12 @@
     }
 
     /// The complete node events for a policy that has been told nothing yet, with the given scope.
-    pub fn snapshot(&self, scope: Scope) -> Vec<Event> {
+    pub fn snapshot(&self, scope: ListUpdate) -> Vec<Event> {
         let present = self.entries.values().filter(|e| e.readiness != Readiness::Gone);
-        let nodes = Event::Nodes { scope, nodes: present.copied().collect() };
-        let visibility = (self.visibility != Sight::default()).then_some(Event::Sight(self.visibility));
-        visibility.into_iter().chain([nodes]).collect()
+        let nodes = Event::Nodes { update: scope, nodes: present.copied().collect() };
+        let coverage =
+            (self.coverage != ListCoverage::default()).then_some(Event::ListCoverage(self.coverage));
+        coverage.into_iter().chain([nodes]).collect()
     }
 
     /// Addresses of the nodes that the policy knows.
@@ -220,7 +221,7 @@
         self.listed = current;
         let previous = std::mem::replace(&mut self.positions, positions);
         self.record_withdrawn(now, &previous);
-        self.emit_changes(now, Scope::Delta, &previous)
+        self.emit_changes(now, ListUpdate::Delta, &previous)
     }
 
     /// Records since when previously listed nodes must not be sent to. `previous`: the previous list.
@@ -245,7 +246,7 @@
             return vec![];
         }
         let previous = std::mem::take(&mut self.positions);
-        let events = self.emit_changes(now, Scope::Local, &previous);
+        let events = self.emit_changes(now, ListUpdate::Local, &previous);
         self.positions = previous;
         events
     }
@@ -253,7 +254,7 @@
     /// Produces the events for the nodes that the policy is to know. `scope`: where they come from.
     /// `previous`: the previous list.
     fn emit_changes(
-        &mut self, now: Duration, scope: Scope, previous: &HashMap<SocketAddr, usize>,
+        &mut self, now: Duration, scope: ListUpdate, previous: &HashMap<SocketAddr, usize>,
     ) -> Vec<Event> {
         let (index, entries) = (&self.index, &self.entries);
         let is_known = |addr: &SocketAddr| {
@@ -263,8 +264,8 @@
         let selected = self.subset.as_mut().map(|subset| {
             subset.select(now, &self.listed, |addr| !previous.contains_key(addr) || is_known(addr))
         });
-        let (in_subset, visibility) = selected
-            .map_or((None, Sight::default()), |(in_subset, visibility)| (Some(in_subset), visibility));
+        let (in_subset, coverage) = selected
+            .map_or((None, ListCoverage::default()), |(in_subset, coverage)| (Some(in_subset), coverage));
         let mut current: BTreeMap<NodeIx, NodeEntry> = BTreeMap::new();
         for at in 0..self.listed.len() {
             let (addr, entry) = self.listed[at];
@@ -290,10 +291,10 @@
         self.obsolete_addrs = nodes.iter().filter(is_obsolete).map(|e| self.addrs[e.node]).collect();
         self.entries.extend(nodes.iter().map(|e| (e.node, *e)));
         let mut events = Vec::new();
-        if std::mem::replace(&mut self.visibility, visibility) != visibility {
-            events.push(Event::Sight(visibility));
+        if std::mem::replace(&mut self.coverage, coverage) != coverage {
+            events.push(Event::ListCoverage(coverage));
         }
-        events.push(Event::Nodes { scope, nodes });
+        events.push(Event::Nodes { update: scope, nodes });
         events
     }
 
@@ -322,7 +323,7 @@
         };
         NodeEntry {
             node: NodeIx::MAX,
-            name: ip << 16 | u64::from(addr.port()),
+            address_hash: ip << 16 | u64::from(addr.port()),
             kind: position(&self.kinds, &listed_node.kind).unwrap_or(0),
             power: listed_node.power,
             cell: listed_node.cell.into(),
@@ -343,7 +344,11 @@
 fn reuse_delay(terms: &Terms) -> Duration {
     let deadlines = terms.rollout.methods.iter().map(|m| m.deadline);
     deadlines
-        .chain([MIN_INDEX_REUSE_DELAY, terms.rollout.rules.fall_window, terms.rollout.release.window])
+        .chain([
+            MIN_INDEX_REUSE_DELAY,
+            terms.rollout.rules.slow_start_window,
+            terms.rollout.release.exposure_window,
+        ])
         .max()
         .unwrap_or(MIN_INDEX_REUSE_DELAY)
 }
--- a/crates/marshal/src/directory/subset.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -41,8 +41,8 @@
             fleet,
             size: Size::new(subset.least),
             memory: Memory::default(),
-            warm_age: rollout.rules.warm_within + rollout.rules.fall_window,
-            budget_window: rollout.rules.fall_window,
+            warm_age: rollout.rules.warm_up + rollout.rules.slow_start_window,
+            budget_window: rollout.rules.slow_start_window,
             delayed: HashMap::new(),
             last_refresh: None,
             rpcs_seen: 0,
@@ -82,10 +82,10 @@
     pub fn select(
         &mut self, now: Duration, listed: &[(SocketAddr, NodeEntry)],
         needs_no_delay: impl Fn(&SocketAddr) -> bool,
-    ) -> (Vec<bool>, Sight) {
+    ) -> (Vec<bool>, ListCoverage) {
         let newest = listed.iter().map(|(_, e)| e.build).max().unwrap_or(0);
         let node = |(_, e): &(SocketAddr, NodeEntry)| Node {
-            name: e.name,
+            name: e.address_hash,
             zone: e.zone,
             new: e.build == newest,
             ready: e.readiness == Readiness::Ready,
@@ -108,8 +108,8 @@
         }
         let seen = if delayed.is_empty() { choice.seen } else { seen(&nodes, &in_subset) };
         self.delayed = delayed;
-        let sight = Sight { newest, seen, holders: choice.holders };
+        let coverage = ListCoverage { newest, listed_part: seen, marshal_part: choice.holders };
         let sees_all = (seen, choice.holders) == ([1.0; 2], [1.0; 2]);
-        (in_subset, if sees_all { Sight::default() } else { sight })
+        (in_subset, if sees_all { ListCoverage::default() } else { coverage })
     }
 }
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -29,7 +29,7 @@
 
 use directory::Directory;
 pub use directory::Rejected;
-pub use ivydrift_policy::port::{DiscoverySign, Outcome, Repeat};
+pub use ivydrift_policy::port::{DiscoverySignal, Outcome, Repeat};
 pub use messages::{Ballot, Call, Counts, Id, Input, Order, Saw, Why};
 use peers::Peers;
 use rpcs::Rpcs;
@@ -131,7 +131,7 @@
 
     /// Bytes that the policy has allocated for evidence by method. A method without RPCs takes none.
     pub fn evidence_bytes(&self) -> usize {
-        self.policy.laid_out()
+        self.policy.evidence_bytes()
     }
 
     /// Number of ready nodes that the policy knows of; 0 while node events wait for the rollout controller.
@@ -199,7 +199,7 @@
                 self.directory.apply_list(now, &self.wall_clock, nodes);
                 self.load_saved_nodes(now, events);
             }
-            Input::MembershipLost => events.push(Event::Nodes { scope: Scope::Failed, nodes: vec![] }),
+            Input::MembershipLost => events.push(Event::Nodes { update: ListUpdate::Failed, nodes: vec![] }),
             Input::Discovery(sign) => events.push(Event::Discovery(sign)),
             Input::News(news) => {
                 self.apply_rollout_update(now, news, events);
@@ -215,7 +215,7 @@
                 let message = peer::read(datagram).filter(|(_, from, _)| other(usize::from(*from)));
                 match (message, &mut self.peers) {
                     (Some((peer::Kind::Policy, from, text)), _) => {
-                        events.push(Event::Peer { from: from.into(), text: text.to_vec() });
+                        events.push(Event::Peer { from: from.into(), payload: text.to_vec() });
                     }
                     (Some((peer::Kind::Members, from, bytes)), Some(peers)) => {
                         orders.extend(peers.receive(now, from, bytes));
@@ -232,9 +232,9 @@
                     .as_ref()
                     .is_some_and(|pending| now >= pending.since + CONTROLLER_TIMEOUT)
                 {
-                    let (course, reply) = (Course::Released, VoteReply::Unasked);
+                    let (course, reply) = (RolloutState::Released, VoteReply::Unsolicited);
                     let (build, stage, age) = (self.directory.oldest_build(), 0, Duration::ZERO);
-                    events.push(Event::Stage { build, stage, course, reply, cap: 1.0, age });
+                    events.push(Event::Stage { build, stage, state: course, reply, cap: 1.0, age });
                     events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                     self.controller_heard = true;
                     let line = "no message from the rollout controller; treating the oldest listed build as released";
@@ -294,7 +294,7 @@
         let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(reserve / 2), at_most_once);
         self.counts.rpcs += 1;
         let (key, repeated) = (call.key, call.repeated);
-        events.push(Event::Rpc { rpc, method, tenant, key, left, work: None, repeated });
+        events.push(Event::Rpc { rpc, method, tenant, key, time_left: left, work: None, is_retry: repeated });
     }
 
     fn end_pick(
@@ -416,7 +416,7 @@
                 // The RPC ended within this batch of actions: the pick is not issued and the policy is told
                 // so.
                 self.rpcs.end_pick(id, pick, false);
-                let (outcome, load) = (Outcome::Moot, Load::default());
+                let (outcome, load) = (Outcome::NotAttempted, Load::default());
                 let took = Duration::ZERO;
                 more.push(Event::PickEnded { rpc, pick, node, outcome, took, done: true, load });
                 self.rpcs.remove_if_done(id);
--- a/crates/marshal/src/messages.rs
+++ b/crates/marshal/src/messages.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ivydrift_policy::port::{Build, DiscoverySign, Load, Outcome};
+use ivydrift_policy::port::{Build, DiscoverySignal, Load, Outcome};
 use ivydrift_wire::{desk, list, orca};
 
 /// Identifies an RPC. The I/O layer assigns it and never reuses one.
@@ -54,9 +54,9 @@
             Saw::Answer { status: 503, never_ran: true, .. } => Outcome::Full,
             Saw::Answer { status, .. } if status < 500 => Outcome::Ok,
             Saw::Answer { .. } => Outcome::Error,
-            Saw::Garbled => Outcome::Garbled,
+            Saw::Garbled => Outcome::Malformed,
             Saw::NotSent => Outcome::NoConnection,
-            Saw::NotBegun => Outcome::Moot,
+            Saw::NotBegun => Outcome::NotAttempted,
             Saw::Broken => Outcome::Reset,
             Saw::TimedOut => Outcome::Timeout,
             Saw::Severed => Outcome::Cancelled,
@@ -68,7 +68,7 @@
         Load {
             in_flight: load.in_flight,
             queue: load.queue,
-            busy: load.cpu_utilization,
+            cpu_utilization: load.cpu_utilization,
             latency: load.latency_ms,
             rate: load.rps,
             errors: load.eps,
@@ -110,7 +110,7 @@
     /// The node list subscription broke, or could not be established.
     MembershipLost,
     /// State of discovery, as seen by a call to it.
-    Discovery(DiscoverySign),
+    Discovery(DiscoverySignal),
     /// An update from the rollout controller.
     News(&'a desk::News),
     /// The rollout controller's answer to this marshal's vote.
--- a/crates/marshal/src/node_list.rs
+++ b/crates/marshal/src/node_list.rs
@@ -21,7 +21,7 @@
         // notice.
         let obsolete = self.directory.obsolete_addrs.drain(..);
         orders.extend(obsolete.map(|node| Order::CloseIdle { node }));
-        if node_events.iter().any(|event| matches!(event, Event::Sight(_))) {
+        if node_events.iter().any(|event| matches!(event, Event::ListCoverage(_))) {
             let (known, listed) = self.directory.counts();
             orders.push(Order::Log(format!("holds {known} of {listed} listed nodes")));
         }
@@ -29,23 +29,25 @@
             events.extend(node_events);
             return;
         }
-        let is_discovery_answer =
-            |event: &Event| matches!(event, Event::Nodes { scope: Scope::Full | Scope::Delta, .. });
+        let is_discovery_answer = |event: &Event| {
+            matches!(event, Event::Nodes { update: ListUpdate::Full | ListUpdate::Delta, .. })
+        };
         if node_events.iter().any(is_discovery_answer) {
             // The nodes wait for the rollout controller's first message. That discovery has answered is
             // reported now, as it may no longer hold by then.
-            events.push(Event::Nodes { scope: Scope::Delta, nodes: vec![] });
+            events.push(Event::Nodes { update: ListUpdate::Delta, nodes: vec![] });
         }
         if !node_events.is_empty() {
             let since = self.pending_nodes.as_ref().map_or(now, |pending| pending.since);
-            self.pending_nodes = Some(PendingNodes { since, events: self.directory.snapshot(Scope::Local) });
+            self.pending_nodes =
+                Some(PendingNodes { since, events: self.directory.snapshot(ListUpdate::Local) });
         }
     }
 
     /// Passes on the node list saved before a restart, until discovery answers.
     pub(crate) fn load_saved_nodes(&mut self, now: Duration, events: &mut Vec<Event>) {
         self.directory.obsolete_addrs.clear();
-        let node_events = self.directory.snapshot(Scope::Cached);
+        let node_events = self.directory.snapshot(ListUpdate::Cached);
         if self.controller_heard {
             events.extend(node_events);
         } else {
--- a/crates/marshal/src/rollout.rs
+++ b/crates/marshal/src/rollout.rs
@@ -29,10 +29,10 @@
     /// withdrawal.
     fn progress(&self) -> (u32, u32, u32) {
         let phase = match self.stage.course {
-            desk::Course::OnTrial => 0,
-            desk::Course::Released => 1,
-            desk::Course::GoingBack => 2,
-            desk::Course::Withdrawn => 3,
+            desk::RolloutState::OnTrial => 0,
+            desk::RolloutState::Released => 1,
+            desk::RolloutState::GoingBack => 2,
+            desk::RolloutState::Withdrawn => 3,
         };
         (self.stage.build, phase, if phase == 0 { self.stage.stage } else { 0 })
     }
@@ -56,14 +56,14 @@
 impl Core {
     pub(crate) fn apply_rollout_update(&mut self, now: Duration, news: &desk::News, events: &mut Vec<Event>) {
         let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
-        events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unasked)));
+        events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unsolicited)));
         let methods = &self.terms.methods;
         for sums in &news.sums {
             let Some(method) = methods.find(&sums.method) else { continue };
             let mean = Duration::try_from_secs_f64(sums.mean_ms / 1000.0).unwrap_or_default();
             let age = Duration::from_millis(sums.age_ms);
             let (build, picks, failed) = (sums.build, sums.picks, sums.failed.min(sums.picks));
-            events.push(Event::Sums { build, method, picks, failed, mean, age });
+            events.push(Event::ControllerCounts { build, method, picks, failed, mean, age });
         }
         for disputed in &news.disputed {
             let method = methods.find(&disputed.method);
@@ -76,8 +76,8 @@
 
     pub(crate) fn vote_event(&mut self, now: Duration, answer_to_vote: Ballot) -> Option<Event> {
         let reply_without_stage = |reply| {
-            let (build, stage, course) = (0, 0, Course::Withdrawn);
-            Event::Stage { build, stage, course, reply, cap: 0.0, age: Duration::ZERO }
+            let (build, stage, course) = (0, 0, RolloutState::Withdrawn);
+            Event::Stage { build, stage, state: course, reply, cap: 0.0, age: Duration::ZERO }
         };
         Some(match answer_to_vote {
             // The policy reads the status only from answers to counted votes.
@@ -105,10 +105,17 @@
 
 fn stage_event(stage: &desk::Stage, age: Duration, reply: VoteReply) -> Event {
     let course = match stage.course {
-        desk::Course::OnTrial => Course::OnTrial,
-        desk::Course::GoingBack => Course::GoingBack,
-        desk::Course::Released => Course::Released,
-        desk::Course::Withdrawn => Course::Withdrawn,
+        desk::RolloutState::OnTrial => RolloutState::OnTrial,
+        desk::RolloutState::GoingBack => RolloutState::GoingBack,
+        desk::RolloutState::Released => RolloutState::Released,
+        desk::RolloutState::Withdrawn => RolloutState::Withdrawn,
     };
-    Event::Stage { build: stage.build, stage: stage.stage as usize, course, reply, cap: stage.cap, age }
+    Event::Stage {
+        build: stage.build,
+        stage: stage.stage as usize,
+        state: course,
+        reply,
+        cap: stage.cap,
+        age,
+    }
 }
--- a/crates/marshal/src/rpcs.rs
+++ b/crates/marshal/src/rpcs.rs
@@ -39,7 +39,7 @@
 
     fn why(&self) -> Why {
         match self.last_outcome {
-            None | Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot) => Why::NoRoom,
+            None | Some(Outcome::Full | Outcome::NoConnection | Outcome::NotAttempted) => Why::NoRoom,
             Some(Outcome::Timeout) => Why::TimedOut,
             Some(_) => Why::Failed,
         }
--- a/crates/marshal/src/send_check.rs
+++ b/crates/marshal/src/send_check.rs
@@ -27,7 +27,7 @@
 impl Core {
     /// Whether the node list is still valid: confirmed recently enough, or without a validity limit.
     pub(crate) fn list_holds(&self, now: Duration) -> bool {
-        self.policy.list_holds(now)
+        self.policy.list_is_valid(now)
     }
 
     /// Checks whether new work may be sent to a node.
--- a/crates/marshal/src/services/config_split.rs
+++ b/crates/marshal/src/services/config_split.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use ivydrift_policy::port::{MethodTerms, TenantTerms};
+use ivydrift_policy::port::{MethodConfig, TenantConfig};
 use ivydrift_terms::services::ServicesTerms;
 use ivydrift_terms::{Names, Terms};
 
@@ -13,7 +13,7 @@
     pub terms: Terms,
     pub bounds: ServicesTerms,
     of: HashMap<String, Arc<str>>,
-    methods: HashMap<Arc<str>, Vec<(String, MethodTerms)>>,
+    methods: HashMap<Arc<str>, Vec<(String, MethodConfig)>>,
 }
 
 impl OnDemandConfig {
@@ -22,7 +22,7 @@
         self.of.get(method).cloned()
     }
 
-    pub fn methods(&self, service: &str) -> &[(String, MethodTerms)] {
+    pub fn methods(&self, service: &str) -> &[(String, MethodConfig)] {
         self.methods.get(service).map_or(&[], |m| m)
     }
 
@@ -42,7 +42,7 @@
     let home: Arc<str> = terms.places.service.clone().into();
     let serves = std::mem::take(&mut terms.serves);
     let (names, values) = (std::mem::take(&mut terms.methods), std::mem::take(&mut terms.rollout.methods));
-    let tenants: (Names, Vec<TenantTerms>) =
+    let tenants: (Names, Vec<TenantConfig>) =
         (std::mem::take(&mut terms.tenants), std::mem::take(&mut terms.rollout.tenants));
     let mut shared = terms.clone();
     shared.places.peers.clear();
--- a/crates/marshal/src/services/instance.rs
+++ b/crates/marshal/src/services/instance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::Repeat;
-use ivydrift_wire::desk::{Course, Stage};
+use ivydrift_wire::desk::{RolloutState, Stage};
 
 use super::config_split::OnDemandConfig;
 use super::{Dropped, Hold, ServiceState};
@@ -153,7 +153,7 @@
     fn set_stage(&mut self, stage: Option<Stage>) {
         let Some(stage) = stage else { return };
         (self.stage, self.on_trial) =
-            (Some(stage), matches!(stage.course, Course::OnTrial | Course::GoingBack));
+            (Some(stage), matches!(stage.course, RolloutState::OnTrial | RolloutState::GoingBack));
     }
 
     pub fn record_pick(&mut self, now: Duration, window: Duration) {
@@ -164,7 +164,7 @@
     /// When the windows of the rules and of idempotency keys have passed.
     fn windows_end(&self) -> Duration {
         let terms = &self.core.terms.rollout;
-        let windows = terms.release.window.max(terms.rules.fall_window) + WINDOW_MARGIN;
+        let windows = terms.release.exposure_window.max(terms.rules.slow_start_window) + WINDOW_MARGIN;
         self.last_pick.map_or(Duration::ZERO, |at| at + windows).max(self.keys_until)
     }
 
--- a/crates/marshal/src/services/memory.rs
+++ b/crates/marshal/src/services/memory.rs
@@ -3,7 +3,7 @@
 use std::mem::size_of;
 use std::time::Duration;
 
-use ivydrift_policy::port::{MethodTerms, NodeEntry};
+use ivydrift_policy::port::{MethodConfig, NodeEntry};
 
 use crate::Core;
 
@@ -17,11 +17,11 @@
 impl Core {
     /// Marks the accounting of the rules as used up from `now` on, each for its window.
     pub(super) fn exhaust_budgets(&mut self, now: Duration) {
-        self.policy.fill_accounts(now);
+        self.policy.mark_budgets_spent(now);
     }
 
     pub(super) fn has_open_keys(&self) -> bool {
-        self.policy.keys_open()
+        self.policy.needs_recorded_keys()
     }
 
     pub(super) fn has_rpc(&self, id: crate::Id) -> bool {
@@ -32,17 +32,17 @@
         let terms = &self.terms;
         // Zones and kinds are stored here and in the directory.
         let names = 2 * (terms.zones.len() + terms.kinds.len()) + 2 * terms.methods.len();
-        let method_configs = terms.methods.len() * (size_of::<MethodTerms>() + 2 * MAP_ENTRY_BYTES);
+        let method_configs = terms.methods.len() * (size_of::<MethodConfig>() + 2 * MAP_ENTRY_BYTES);
         size_of::<Core>() + names * NAME_BYTES + method_configs + (self.rpcs.len() * RPC_BYTES)
     }
 
     fn node_bytes(&self) -> usize {
         let listed = 2 * size_of::<std::net::SocketAddr>() + size_of::<NodeEntry>() + 3 * MAP_ENTRY_BYTES;
-        listed + self.policy.bytes().1
+        listed + self.policy.memory_bytes().1
     }
 
     pub(super) fn bytes(&self) -> usize {
-        let (policy, per_node) = self.policy.bytes();
+        let (policy, per_node) = self.policy.memory_bytes();
         let listed = self.node_bytes() - per_node;
         self.fixed_bytes() + policy + self.directory.len() * listed
     }
--- a/crates/measure/src/scale/bursts.rs
+++ b/crates/measure/src/scale/bursts.rs
@@ -48,7 +48,7 @@
     let stage = news.stage.unwrap_or(desk::Stage {
         build: 1,
         stage: 0,
-        course: desk::Course::Released,
+        course: desk::RolloutState::Released,
         cap: 1.0,
         age_ms: 0,
     });
@@ -112,7 +112,7 @@
     let mut fleet = PolicyFleet::new(Setup { marshals: MARSHAL_COUNT, ..setup(modules, 1e-9, seed) })?;
     fleet.run(5 * SECOND);
     fleet.list_up = false;
-    fleet.deliver_to_all(&Event::Nodes { scope: Scope::Failed, nodes: vec![] });
+    fleet.deliver_to_all(&Event::Nodes { update: ListUpdate::Failed, nodes: vec![] });
     fleet.run(60 * SECOND);
     let away = std::mem::take(&mut fleet.observed.list_requests);
     (fleet.list_up, fleet.observed) = (true, Default::default());
--- a/crates/measure/src/scale/cold.rs
+++ b/crates/measure/src/scale/cold.rs
@@ -87,7 +87,7 @@
 pub fn expose_trial(modules: usize, trial: usize, seed: u64) -> Result<Exposure, Error> {
     let mut fleet = PolicyFleet::new(setup(modules, SERVICE_RATE, seed))?;
     fleet.run(10 * SECOND);
-    fleet.deliver_to_all(&stage_event(2, 0, Course::OnTrial, EXPOSURE_CAP[0], Duration::ZERO));
+    fleet.deliver_to_all(&stage_event(2, 0, RolloutState::OnTrial, EXPOSURE_CAP[0], Duration::ZERO));
     fleet.restart(0..trial, 2);
     fleet.observed = Default::default();
     fleet.run(30 * SECOND);
--- a/crates/measure/src/scale/core_harness.rs
+++ b/crates/measure/src/scale/core_harness.rs
@@ -8,7 +8,7 @@
 
 use ivydrift_marshal::{Call, Core, Id, Input, Order, Saw};
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{Course, News, Stage};
+use ivydrift_wire::desk::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
@@ -89,7 +89,7 @@
 
 /// The rollout controller's state: build 1 is released and none is on trial.
 pub fn released() -> News {
-    let stage = Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 };
+    let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
     News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }
 }
 
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{Course, News, Stage, Sums, Vote};
+use ivydrift_wire::desk::{ControllerCounts, News, RolloutState, Stage, Vote};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::list::{self, Listed, State};
 
@@ -177,9 +177,9 @@
     pub fn stage(&self, at: Duration) -> Stage {
         if at >= self.trial_start {
             let age_ms = (at - self.trial_start).as_millis() as u64;
-            return Stage { build: 2, stage: 0, course: Course::OnTrial, cap: 0.14, age_ms };
+            return Stage { build: 2, stage: 0, course: RolloutState::OnTrial, cap: 0.14, age_ms };
         }
-        Stage { build: 1, stage: 2, course: Course::Released, cap: 1.0, age_ms: 90_000 }
+        Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 }
     }
 
     /// The index of the rollout controller's state at this time.
@@ -203,7 +203,7 @@
     pub fn news(&self, at: Duration) -> News {
         let builds = if at >= self.trial_start { 2 } else { 1 };
         let sums = |build: u32| {
-            (0..METHODS).map(move |m| Sums {
+            (0..METHODS).map(move |m| ControllerCounts {
                 build,
                 method: method_name(m),
                 picks: 400,
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use ivydrift_wire::desk::{Counted, Course, Stage, Sums, Verdict, Vote};
+use ivydrift_wire::desk::{ControllerCounts, Counted, RolloutState, Stage, Verdict, Vote};
 use serde_json::Value;
 
 /// Line length limit in bytes; a line of this length or more closes the connection.
@@ -22,7 +22,7 @@
     /// The rollout stage changed.
     Stage(Stage),
     /// Sampled totals of one build and method.
-    Sums(Sums),
+    Sums(ControllerCounts),
     /// A client disputed an answer of the member whose id is `unit`.
     Disputed { unit: String, method: String, age_ms: u64 },
     /// Keep-alive.
@@ -40,12 +40,12 @@
     format!("judge {} {} {verdict}\r\n", vote.build, vote.stage).into_bytes()
 }
 
-fn course(word: &str) -> Option<Course> {
+fn course(word: &str) -> Option<RolloutState> {
     Some(match word {
-        "testing" => Course::OnTrial,
-        "recalling" => Course::GoingBack,
-        "live" => Course::Released,
-        "recalled" => Course::Withdrawn,
+        "testing" => RolloutState::OnTrial,
+        "recalling" => RolloutState::GoingBack,
+        "live" => RolloutState::Released,
+        "recalled" => RolloutState::Withdrawn,
         _ => return None,
     })
 }
@@ -104,9 +104,9 @@
     parsed.ok_or_else(malformed)
 }
 
-fn sums(words: &[&str]) -> Option<Sums> {
+fn sums(words: &[&str]) -> Option<ControllerCounts> {
     let [build, method, picks, failed, mean_ms, age_ms] = words else { return None };
-    Some(Sums {
+    Some(ControllerCounts {
         build: build.parse().ok()?,
         method: (*method).to_owned(),
         picks: picks.parse().ok()?,
--- a/crates/platform/src/desk/tests.rs
+++ b/crates/platform/src/desk/tests.rs
@@ -2,11 +2,17 @@
 
 #[test]
 fn the_examples_of_the_protocol_parse() {
-    let on_trial = Stage { build: 42, stage: 1, course: Course::OnTrial, cap: 0.28, age_ms: 310 };
+    let on_trial = Stage { build: 42, stage: 1, course: RolloutState::OnTrial, cap: 0.28, age_ms: 310 };
     assert_eq!(line(b"OK 42 1 testing 0.28 310"), Ok(Line::Done(Some(on_trial))));
     assert_eq!(line(b"* ROLLOUT 42 1 testing 0.28 310"), Ok(Line::Stage(on_trial)));
-    let sampled_totals =
-        Sums { build: 42, method: "lookup".into(), picks: 57, failed: 2, mean_ms: 18.5, age_ms: 900 };
+    let sampled_totals = ControllerCounts {
+        build: 42,
+        method: "lookup".into(),
+        picks: 57,
+        failed: 2,
+        mean_ms: 18.5,
+        age_ms: 900,
+    };
     assert_eq!(line(b"* SAMPLE 42 lookup 57 2 18.5 900"), Ok(Line::Sums(sampled_totals)));
     let disputed = Line::Disputed { unit: "s-5be2a07c".into(), method: "lookup".into(), age_ms: 1200 };
     assert_eq!(line(b"* DISPUTE s-5be2a07c lookup 1200"), Ok(disputed));
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use ivydrift_facts::Facts;
-use ivydrift_policy::port::ListLeaseTerms;
+use ivydrift_policy::port::ListLeaseConfig;
 use ivydrift_terms::{Bounds, Places, Terms};
 use ivydrift_wire::desk::Stage;
 use serde_json::Value;
@@ -20,8 +20,10 @@
 pub const FILE: &str = "LB_CONFIG";
 
 /// The operators count a change of the node list as delivered after these times, whether or not it has arrived.
-const LIST_LEASE: ListLeaseTerms =
-    ListLeaseTerms { told_within: Duration::from_secs(6), told_after_reload: Duration::from_secs(4) };
+const LIST_LEASE: ListLeaseConfig = ListLeaseConfig {
+    delivered_within: Duration::from_secs(6),
+    delivered_after_reload: Duration::from_secs(4),
+};
 
 /// Contents of the config file: the config, the last known member list and the newest build's rollout stage.
 pub struct Start {
@@ -77,7 +79,7 @@
     rollout.limits.peers = false;
     // Discovery does not push node lists either: `discovery` in the settings concerns the simulator, here the list is
     // always polled over HTTP.
-    rollout.ask_discovery = true;
+    rollout.polls_discovery = true;
     rollout.rules.list_lease = Some(LIST_LEASE);
     let bounds = Bounds::by_descriptors(sockets as usize, BODY, connect);
     let regions = vec![0; zones.len()];
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,7 +13,7 @@
 
 /// The statistical test behind verdicts, exported for measurements of how many outcomes a verdict takes.
 pub mod evidence {
-    pub use crate::policy::{below, width, DELTA, HALVE, LEAST_SAMPLE};
+    pub use crate::policy::{confidence_half_width, is_below, DELTA, HALVING_INTERVAL, MIN_SAMPLE};
     pub use crate::policy::{PACE_MARGIN, PACE_MARGIN_FEW_NODES, PAYOFF_MARGIN, SOUNDNESS_MARGIN};
     pub use crate::state::Tally;
 }
--- a/crates/policy/src/marshal.rs
+++ b/crates/policy/src/marshal.rs
@@ -1,4 +1,4 @@
-//! The event loop of one marshal. The driver creates it with `Marshal::new(&terms)` and calls `handle(now,
+//! The event loop of one marshal. The driver creates it with `Marshal::new(&rollout_config)` and calls `handle(now,
 //! events) -> actions` whenever something has happened. The loop delivers messages between the components and
 //! makes no decisions of its own.
 
@@ -21,8 +21,8 @@
 
 impl Marshal {
     /// Creates a marshal that knows no nodes and has no history.
-    pub fn new(terms: &RolloutTerms) -> Self {
-        let config = Config::new(terms);
+    pub fn new(rollout_config: &RolloutConfig) -> Self {
+        let config = Config::new(rollout_config);
         let method_latency = config.methods.iter().map(|d| INITIAL_LATENCY_PART * d.soft_secs).collect();
         let dispatcher = Dispatcher {
             method_latency,
@@ -35,15 +35,15 @@
         analysis.configure(&config, ring_layout(&config, MAX_RING_SIZE));
         let (nodes, discovery, next_tick) = (Vec::new(), DiscoveryClient::default(), Duration::ZERO);
         let mut ctx = Context::new(config);
-        ctx.lease.configure(&terms.rules);
+        ctx.lease.configure(&rollout_config.rules);
         Marshal { ctx, nodes, dispatcher, analysis, discovery, next_tick }
     }
 
     /// Applies a new config between two calls of `handle`. Methods and kinds keep their indices, and new ones
     /// are appended. RPCs in progress, the send history behind the rules, node health and evidence are kept.
-    pub fn renew(&mut self, terms: &RolloutTerms) {
-        self.ctx.config = Config::new(terms);
-        self.ctx.lease.configure(&terms.rules);
+    pub fn reconfigure(&mut self, rollout_config: &RolloutConfig) {
+        self.ctx.config = Config::new(rollout_config);
+        self.ctx.lease.configure(&rollout_config.rules);
         let latency = self.ctx.config.methods.iter().map(|d| INITIAL_LATENCY_PART * d.soft_secs);
         self.dispatcher.method_latency.extend(latency.skip(self.dispatcher.method_latency.len()));
         self.dispatcher.lists_stale = true;
@@ -52,29 +52,29 @@
 
     /// Treats the exposure and slow-start budgets as fully spent at `now`, each until its window has passed:
     /// after a restart, earlier sends are unknown.
-    pub fn fill_accounts(&mut self, now: Duration) {
+    pub fn mark_budgets_spent(&mut self, now: Duration) {
         self.dispatcher.send_rules.spent_at = Some(now);
     }
 
     /// Whether forgetting the recorded keys could break the one-way rule: a key that a build has answered
     /// could then be sent to an earlier build.
-    pub fn keys_open(&self) -> bool {
+    pub fn needs_recorded_keys(&self) -> bool {
         self.dispatcher.send_rules.needs_keys(&self.ctx)
     }
 
     /// Whether the node list is still valid for new work: discovery has confirmed it in time.
-    pub fn list_holds(&self, now: Duration) -> bool {
+    pub fn list_is_valid(&self, now: Duration) -> bool {
         self.ctx.lease.is_valid(now)
     }
 
     /// Estimated memory in bytes: the total, and the share of each listed node.
-    pub fn bytes(&self) -> (usize, usize) {
+    pub fn memory_bytes(&self) -> (usize, usize) {
         (memory_bytes(&self.nodes, &self.dispatcher, &self.analysis), node_bytes())
     }
 
     /// Bytes allocated per method: evidence, allocated at the first outcome of a method at a node, and the
     /// history of sends. A method without RPCs takes none.
-    pub fn laid_out(&self) -> usize {
+    pub fn evidence_bytes(&self) -> usize {
         self.analysis.bytes() + self.dispatcher.send_rules.bytes()
     }
 
--- a/crates/policy/src/policy/canary_analysis.rs
+++ b/crates/policy/src/policy/canary_analysis.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Interval at which all records are halved.
-pub const HALVE: Duration = ms(5000);
+pub const HALVING_INTERVAL: Duration = ms(5000);
 /// Interval at which counts are sent to peers.
 const PEER_COUNTS_INTERVAL: Duration = ms(1000);
 /// Age from which on received counts are ignored.
@@ -28,8 +28,8 @@
                 if matches!(outcome, Outcome::Ok | Outcome::Error) {
                     stats.soundness.add(Tally::one(ok), 1.0);
                 }
-                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Garbled) {
-                    stats.readable.add(Tally::one(outcome != Outcome::Garbled), 1.0);
+                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Malformed) {
+                    stats.readable.add(Tally::one(outcome != Outcome::Malformed), 1.0);
                 }
                 if at >= self.relieved_at && !is_young(&entry, at) {
                     stats.payoff.add(Tally::one(ok && took <= soft), 1.0);
@@ -38,10 +38,10 @@
                     let baseline = self.baseline.get(kind, slot);
                     // The latency of a failed pick, or of a node on trial, tells nothing about a slowdown of
                     // the older arm.
-                    let erred = matches!(outcome, Outcome::Error | Outcome::Garbled);
+                    let erred = matches!(outcome, Outcome::Error | Outcome::Malformed);
                     let comparable = entry.build < self.newest && !erred;
                     let quick_bin =
-                        baseline.quantile_bin(QUICK_PART, LEAST_SAMPLE / 3.0).filter(|_| comparable);
+                        baseline.quantile_bin(QUICK_PART, MIN_SAMPLE / 3.0).filter(|_| comparable);
                     if let Some(quick_bin) = quick_bin {
                         self.abstention.record(at, slot, Tally::one(ok && bin <= quick_bin));
                     }
@@ -69,14 +69,16 @@
                     .into_iter()
                     .for_each(OutcomeStats::remove_disputed);
             }
-            Message::Event(Event::Sums { build, picks, failed, age, .. }) if build <= self.newest => {
-                let sum = Tally { n: picks.into(), good: picks.saturating_sub(failed).into() };
+            Message::Event(Event::ControllerCounts { build, picks, failed, age, .. })
+                if build <= self.newest =>
+            {
+                let sum = Tally { count: picks.into(), good: picks.saturating_sub(failed).into() };
                 let after_last_machine = build == self.newest && ctx.now >= self.last_machine_at + age;
-                self.counted_outcomes += if after_last_machine { sum.n } else { 0.0 };
+                self.counted_outcomes += if after_last_machine { sum.count } else { 0.0 };
                 self.controller_counts[usize::from(build != self.newest)].add(sum, 1.0);
             }
-            Message::Event(Event::Peer { from, text }) => {
-                let Some((build, abstains, level, pairs)) = decode_counts(&text) else { return };
+            Message::Event(Event::Peer { from, payload }) => {
+                let Some((build, abstains, level, pairs)) = decode_counts(&payload) else { return };
                 let Some(place) = self.ring_place(from, level, &ctx.config) else { return };
                 self.record_peer_counts((level, place), (ctx.now, build, pairs));
                 // All marshals abstain together.
@@ -84,10 +86,10 @@
             }
             Message::Event(event) => {
                 let Some((rollout, reply)) = RolloutStatus::read(ctx, &event) else { return };
-                if let Some(vote) = self.last_vote.as_mut().filter(|_| reply != VoteReply::Unasked) {
+                if let Some(vote) = self.last_vote.as_mut().filter(|_| reply != VoteReply::Unsolicited) {
                     vote.2 = reply;
                 }
-                if matches!(reply, VoteReply::Unasked | VoteReply::Counts) {
+                if matches!(reply, VoteReply::Unsolicited | VoteReply::Counts) {
                     self.begin_trial(rollout.build);
                     self.rollout = Some(rollout);
                 }
@@ -103,7 +105,8 @@
         if build <= self.newest {
             return;
         }
-        let released = self.rollout.is_none_or(|n| n.build == self.newest && n.course == Course::Released);
+        let released =
+            self.rollout.is_none_or(|n| n.build == self.newest && n.state == RolloutState::Released);
         if released {
             self.past_nodes.clear();
         }
@@ -132,8 +135,9 @@
         // arm, or of bad RPCs, are not.
         let mut total = ArmPair::default();
         records.iter().for_each(|b| add_pair(&mut total, &b.1.soundness_and_payoff()));
-        let within_rate =
-            |own: &Tally, all: &Tally| own.missed() <= 1.0 + OUTLIER_MULTIPLE * own.n * (1.0 - all.mean());
+        let within_rate = |own: &Tally, all: &Tally| {
+            own.missed() <= 1.0 + OUTLIER_MULTIPLE * own.count * (1.0 - all.mean())
+        };
         let normal = |b: &NodeRecord| {
             b.soundness_and_payoff().iter().zip(&total).all(|(own, all)| within_rate(own, all))
         };
@@ -153,7 +157,8 @@
     /// Whether the newest build is released or runs on nearly the whole fleet, and so is compared with the
     /// record from before its trial.
     pub fn lacks_older_arm(&self) -> bool {
-        let released = self.rollout.is_some_and(|n| n.build == self.newest && n.course == Course::Released);
+        let released =
+            self.rollout.is_some_and(|n| n.build == self.newest && n.state == RolloutState::Released);
         released || 4 * self.ready_nodes(false) < self.ready_nodes(true)
     }
 
@@ -179,7 +184,7 @@
             if !no_older_arm || ctx.config.repeatable(method) {
                 add_pair(&mut pairs[1 + at], &[new_stats.soundness, old_stats.soundness]);
             }
-            if let Some(quick_bin) = old_stats.quantile_bin(QUICK_PART, LEAST_SAMPLE) {
+            if let Some(quick_bin) = old_stats.quantile_bin(QUICK_PART, MIN_SAMPLE) {
                 add_pair(&mut pairs[methods + 1], &[new_stats.up_to(quick_bin), old_stats.up_to(quick_bin)]);
             }
         }
@@ -190,7 +195,7 @@
     fn evaluate(&mut self, ctx: &mut Context) {
         self.evaluated_at = ctx.now;
 
-        if ctx.now >= self.halved_at + HALVE {
+        if ctx.now >= self.halved_at + HALVING_INTERVAL {
             self.halved_at = ctx.now;
             self.halve();
         }
@@ -214,7 +219,7 @@
         let send_counts = due && self.sends_counts(&ctx.config);
         for level in 0..self.levels {
             let span = self.ring_size.pow(level);
-            if send_counts && pairs.iter().any(|p| p[0].n >= 1.0) {
+            if send_counts && pairs.iter().any(|p| p[0].count >= 1.0) {
                 self.counts_sent_at = ctx.now;
                 let text = encode_counts(self.newest, abstaining, level, &self.expand(&pairs));
                 let to = (1..self.ring_size)
--- a/crates/policy/src/policy/congestion.rs
+++ b/crates/policy/src/policy/congestion.rs
@@ -62,7 +62,7 @@
             .is_some_and(|e| e >= latency_bin(SLOW_DEADLINE_PART));
         // A client's retry is a repeat like one of ours, and draws on the same retry budget.
         let affordable = !repeated || !congested || self.retry_budget >= 1.0;
-        let shed = left < 1.0 && answered.n >= RECENT_ANSWERS / 6.0 && draw > send_probability;
+        let shed = left < 1.0 && answered.count >= RECENT_ANSWERS / 6.0 && draw > send_probability;
         self.retry_budget -= f64::from(u8::from(repeated && congested && affordable && !shed));
         shed || !affordable
     }
--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -1,7 +1,7 @@
 //! When to call discovery for the node list, where calls are needed.
 //!
-//! A failed call is retried until discovery itself has answered: only [`Scope::Full`] and [`Scope::Delta`]
-//! are its answers. Updates made by the marshal ([`Scope::Local`], [`Scope::Cached`]) never end the retries.
+//! A failed call is retried until discovery itself has answered: only [`ListUpdate::Full`] and [`ListUpdate::Delta`]
+//! are its answers. Updates made by the marshal ([`ListUpdate::Local`], [`ListUpdate::Cached`]) never end the retries.
 //! Where the watch gives signs of life, one that gives none in time counts as failed, whatever its connection
 //! looks like.
 //!
@@ -40,12 +40,14 @@
     pub fn handle(&mut self, message: Message, ctx: &mut Context) {
         let Some(pause) = ctx.config.call_pause_secs else { return };
         match message {
-            Message::Event(Event::Nodes { scope: Scope::Failed, .. }) => {
+            Message::Event(Event::Nodes { update: ListUpdate::Failed, .. }) => {
                 (self.subscribed, self.failures) = (false, self.failures.saturating_add(1));
                 self.next_call = ctx.now + self.retry_delay(pause, ctx);
             }
-            Message::Event(Event::Nodes { scope: Scope::Full | Scope::Delta, .. }) => self.answered(),
-            Message::Event(Event::Discovery(DiscoverySign::Confirmed { next_within, .. })) => {
+            Message::Event(Event::Nodes { update: ListUpdate::Full | ListUpdate::Delta, .. }) => {
+                self.answered()
+            }
+            Message::Event(Event::Discovery(DiscoverySignal::Confirmed { next_within, .. })) => {
                 self.answered();
                 self.sign_due = Some(ctx.now + next_within);
             }
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -19,19 +19,19 @@
 
 impl ListLease {
     /// Applies a new config.
-    pub fn configure(&mut self, rules: &RuleTerms) {
-        (self.terms, self.drain_grace) = (rules.list_lease, rules.drain_grace);
+    pub fn configure(&mut self, rules: &RuleConfig) {
+        (self.rollout_config, self.drain_grace) = (rules.list_lease, rules.drain_grace);
     }
 
     /// Whether the list's validity is bounded.
     pub fn is_bounded(&self) -> bool {
-        self.terms.is_some()
+        self.rollout_config.is_some()
     }
 
     /// Whether the list may be used for new work now.
     pub fn is_valid(&self, now: Duration) -> bool {
         let in_outage = self.outage.is_some_and(|outage| now < outage.since + MAX_OUTAGE);
-        self.terms.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
+        self.rollout_config.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
     }
 
     /// Called with each event; the first one starts the lease as expired. How long the process was away, and
@@ -44,15 +44,15 @@
     }
 
     /// Updates the lease by what a call to discovery revealed.
-    pub fn observe(&mut self, now: Duration, sign: DiscoverySign) {
-        let (Some(terms), Some(until)) = (self.terms, self.valid_until) else { return };
-        let delivery = terms.told_within;
+    pub fn observe(&mut self, now: Duration, sign: DiscoverySignal) {
+        let (Some(rollout_config), Some(until)) = (self.rollout_config, self.valid_until) else { return };
+        let delivery = rollout_config.delivered_within;
         self.valid_until = Some(match sign {
-            DiscoverySign::Confirmed { as_of, .. } => {
+            DiscoverySignal::Confirmed { as_of, .. } => {
                 self.outage = None;
                 self.expiry(as_of, delivery)
             }
-            DiscoverySign::WentDown => {
+            DiscoverySignal::ShuttingDown => {
                 // An expired list does not become valid by that.
                 let was_valid = now < until;
                 self.outage =
@@ -63,20 +63,20 @@
                     until
                 }
             }
-            DiscoverySign::Unreachable => until.max(self.expiry(now, delivery)),
-            DiscoverySign::RefusedLate { asked } => {
+            DiscoverySignal::Unreachable => until.max(self.expiry(now, delivery)),
+            DiscoverySignal::RefusedLate { asked } => {
                 self.outage = self
                     .outage
                     .map(|outage| Outage { last_failed_call: outage.last_failed_call.max(asked), ..outage });
                 until
             }
             // Discovery may have been back since the last call that failed as in an outage.
-            DiscoverySign::Lives => {
+            DiscoverySignal::Responsive => {
                 self.outage.take().map_or(until, |outage| self.expiry(outage.last_failed_call, delivery))
             }
-            DiscoverySign::Reloaded => {
+            DiscoverySignal::Reloaded => {
                 self.outage = None;
-                until.min(self.expiry(now, terms.told_after_reload))
+                until.min(self.expiry(now, rollout_config.delivered_after_reload))
             }
         });
     }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -22,7 +22,7 @@
 use crate::port::*;
 use crate::state::*;
 pub use {
-    canary_analysis::HALVE,
+    canary_analysis::HALVING_INTERVAL,
     statistics::*,
     vote::{PACE_MARGIN, PACE_MARGIN_FEW_NODES, PAYOFF_MARGIN, SOUNDNESS_MARGIN},
 };
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -59,9 +59,9 @@
     fn learn(&mut self, now: Duration, outcome: Outcome, took: f64) {
         let failure = match outcome {
             Outcome::Ok => 0.0,
-            Outcome::Error | Outcome::Garbled | Outcome::Timeout => 1.0,
+            Outcome::Error | Outcome::Malformed | Outcome::Timeout => 1.0,
             Outcome::Reset | Outcome::NoConnection => 3.0,
-            Outcome::Full | Outcome::Cancelled | Outcome::Moot => return, // A full node is not failing.
+            Outcome::Full | Outcome::Cancelled | Outcome::NotAttempted => return, // A full node is not failing.
         };
         if outcome != Outcome::Timeout {
             self.last_response = now;
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -76,8 +76,9 @@
                 // Key affinity: where nodes work less for a key handled recently, all marshals agree on its
                 // node by rendezvous hashing. It is one of the two choices, and is taken unless clearly
                 // busier. Harms where one key has most of the traffic.
-                let preferred =
-                    |key: u64| list.iter().max_by_key(|n| random_u64(key, self.statuses[**n].entry.name));
+                let preferred = |key: u64| {
+                    list.iter().max_by_key(|n| random_u64(key, self.statuses[**n].entry.address_hash))
+                };
                 let preferred = state
                     .key
                     .filter(|_| ctx.config.warm_keys)
--- a/crates/policy/src/policy/send_rules.rs
+++ b/crates/policy/src/policy/send_rules.rs
@@ -10,7 +10,8 @@
         if build > rollout.build {
             return Some((0, ctx.config.exposure.first_cap));
         }
-        (build == rollout.build && rollout.course != Course::Released).then_some((rollout.stage, rollout.cap))
+        (build == rollout.build && rollout.state != RolloutState::Released)
+            .then_some((rollout.stage, rollout.cap))
     }
 
     /// Checks all rules for a pick: rule 1 (time left), rule 2 (repeats), rule 3 (drains, announced or deemed
@@ -75,7 +76,7 @@
         }
         let capacity = config.capacity_part(age.saturating_sub(config.slow_start_window));
         let budget = config.slow_start_secs * capacity * self.ok_rate_per_power * power(entry)
-            / ctx.sight.holders(entry.build);
+            / ctx.coverage.marshal_part(entry.build);
         let window =
             (age.as_secs_f64() / config.slow_start_window.as_secs_f64().max(0.001) + config.phase) as u64;
         let rounding = random_unit(config.seed, 1 << 63 | (entry.node as u64) << 32 | window);
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -29,9 +29,9 @@
 impl CanaryAnalysis {
     /// Decides on a verdict from the pairs of all questions, and votes if that is due.
     pub fn vote(&mut self, mut pairs: Vec<ArmPair>, nodes: usize, ctx: &mut Context) {
-        let live = |n: &RolloutStatus| matches!(n.course, Course::Released | Course::OnTrial);
+        let live = |n: &RolloutStatus| matches!(n.state, RolloutState::Released | RolloutState::OnTrial);
         let Some(rollout) = self.rollout.filter(|n| n.build == self.newest && live(n)) else { return };
-        let released = rollout.course == Course::Released;
+        let released = rollout.state == RolloutState::Released;
         // The abstention test ends with the trial. Otherwise nothing would be sent to a released build, and
         // without an older arm all RPCs would be pushed back.
         self.abstention.abstaining_since = self.abstention.abstaining_since.filter(|_| !released);
@@ -45,7 +45,7 @@
         // Any node may return corrupt answers, and the older arm's few are excluded with its worst nodes: σ²
         // is that of both arms if they are alike. Costs power against a build that corrupts few answers.
         let pooled_variance = |p: &ArmPair| {
-            let mean = (p[0].good + p[1].good) / (p[0].n + p[1].n).max(1e-9);
+            let mean = (p[0].good + p[1].good) / (p[0].count + p[1].count).max(1e-9);
             mean * (1.0 - mean)
         };
         let pace_margin = PACE_MARGIN + PACE_MARGIN_FEW_NODES / (nodes.max(1) as f64).sqrt();
@@ -59,7 +59,7 @@
         // err.
         let delta = DELTA * ctx.config.rollback_part;
         let first_worse =
-            |part: f64| questions.iter().position(|(p, m, v)| below(p[0], p[1], *m, part, *v, delta));
+            |part: f64| questions.iter().position(|(p, m, v)| is_below(p[0], p[1], *m, part, *v, delta));
         let healthy = self.healthy_nodes();
         // Before all of the stage's machines run, the test would clear the build at an earlier stage's
         // traffic.
@@ -81,10 +81,10 @@
         let duration = EVIDENCE_DURATIONS[if late_alone > 0 { 3 } else { 2 * lateness - by_controller }];
         self.guilty_since = against.and(self.guilty_since.or(Some(ctx.now)));
         let guilty = self.guilty_since.is_some_and(|since| ctx.now >= since.max(quiet_from) + duration);
-        let better = below(payoff[1], payoff[0], 0.0, 1.0, 0.25, DELTA);
+        let better = is_below(payoff[1], payoff[0], 0.0, 1.0, 0.25, DELTA);
         // The controller's counts over all marshals are a sample too: one of 300 marshals never has enough by
         // itself.
-        let wait = if soundness[0].n.max(self.controller_counts[0].n) < LEAST_SAMPLE {
+        let wait = if soundness[0].count.max(self.controller_counts[0].count) < MIN_SAMPLE {
             2 * PROMOTE_WAIT
         } else {
             PROMOTE_WAIT
@@ -93,7 +93,7 @@
         // alone, all marshals would vote to promote without evidence.
         let since = self.stage_running_since(rollout, ctx).max(self.relieved_at);
         let counted = self.counted_outcomes >= MIN_COUNTED_OUTCOMES
-            || self.controller_counts[1].n == 0.0
+            || self.controller_counts[1].count == 0.0
             || ctx.now >= since + MAX_PROMOTE_WAIT;
         let promotable = better || (counted && ctx.now >= since + wait);
         let verdict = match against.or(first_worse(0.4)) {
@@ -139,7 +139,7 @@
             let reason = against.or(first_worse(0.4)).map_or(String::new(), describe);
             ctx.actions.push(Action::Log(format!("build {build} stage {stage}: vote {verdict:?}{reason}")));
         }
-        self.last_vote = Some((vote, ctx.now, VoteReply::Unasked));
+        self.last_vote = Some((vote, ctx.now, VoteReply::Unsolicited));
         ctx.actions.push(Action::Vote { verdict, stage, build });
     }
 
--- a/crates/policy/src/port.rs
+++ b/crates/policy/src/port.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: the events that it receives and the actions that it requests, in
 //! plain types.
 //!
-//! A driver creates one [`crate::Marshal`] from [`RolloutTerms`], then calls `handle(now, events) -> actions`
+//! A driver creates one [`crate::Marshal`] from [`RolloutConfig`], then calls `handle(now, events) -> actions`
 //! whenever something has happened. Times are durations since an arbitrary start; nodes and RPCs are small
 //! indices assigned by the driver.
 
@@ -35,7 +35,7 @@
 
 /// Config of one method.
 #[derive(Clone, Debug)]
-pub struct MethodTerms {
+pub struct MethodConfig {
     pub repeat: Repeat,
     /// An answer within this time earns the full utility.
     pub soft_deadline: Duration,
@@ -53,7 +53,7 @@
 
 /// Config of one tenant.
 #[derive(Clone, Copy, Debug)]
-pub struct TenantTerms {
+pub struct TenantConfig {
     /// Rate in RPCs/s up to which the tenant is within its share, summed over all marshals.
     pub quota: f64,
     /// The tenant's share, from 0 to 1.
@@ -71,22 +71,22 @@
 
 /// Config of rollouts.
 #[derive(Clone, Debug)]
-pub struct ReleaseTerms {
+pub struct ReleaseConfig {
     pub control: Control,
     /// Votes needed to promote.
-    pub on_votes: usize,
+    pub promote_votes: usize,
     /// Votes needed to roll back.
-    pub back_votes: usize,
+    pub rollback_votes: usize,
     /// Share of the fleet's places that run the new build, by stage.
     pub shares: Vec<f64>,
     /// Exposure cap by stage: the part of the RPCs that the build on trial may get.
-    pub caps: Vec<f64>,
+    pub exposure_caps: Vec<f64>,
     /// The window over which exposure is counted.
-    pub window: Duration,
+    pub exposure_window: Duration,
     /// Picks that the exposure budget grants in each window regardless of traffic.
-    pub free: f64,
+    pub free_picks: f64,
     /// Exposure is counted by method rather than over all methods.
-    pub by_method: bool,
+    pub exposure_by_method: bool,
     /// In stages below this one, only idempotent methods may be sent to the build on trial.
     pub guarded_stages: usize,
     /// A key that the new build has answered is never sent to an earlier build.
@@ -94,7 +94,7 @@
     /// Each node of the earlier build drains once its replacement runs.
     pub in_place: bool,
     /// The minimum time that a stage lasts once its nodes run.
-    pub bake: Duration,
+    pub min_stage_time: Duration,
     /// How long a vote counts.
     pub vote_life: Duration,
     /// The pause before a vote whose outcome is unknown is sent again.
@@ -107,40 +107,40 @@
 
 /// Config of the rules for every send.
 #[derive(Clone, Copy, Debug)]
-pub struct RuleTerms {
+pub struct RuleConfig {
     /// How long a node may still be sent to after it was announced as draining.
     pub drain_grace: Duration,
     /// Part of its capacity that a node has right after its start.
-    pub cold_from: f64,
+    pub cold_start_part: f64,
     /// Time from a node's start to full capacity.
-    pub warm_within: Duration,
-    /// Slow-start budget, as a multiple of the RPCs that a cold node is expected to answer in `fall_window`.
-    pub fall_multiple: f64,
+    pub warm_up: Duration,
+    /// Slow-start budget, as a multiple of the RPCs that a cold node is expected to answer in `slow_start_window`.
+    pub slow_start_multiple: f64,
     /// The window over which the slow-start budget is counted.
-    pub fall_window: Duration,
+    pub slow_start_window: Duration,
     /// The longest time without a call to discovery while there is no subscription.
-    pub ask_within: Duration,
+    pub max_call_gap: Duration,
     /// Bounds the use of an unconfirmed node list, where the marshal talks to discovery itself. None: the
     /// list stays valid forever.
-    pub list_lease: Option<ListLeaseTerms>,
+    pub list_lease: Option<ListLeaseConfig>,
 }
 
 /// When a change known to discovery counts as delivered, whether or not it has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListLeaseTerms {
+pub struct ListLeaseConfig {
     /// This long after discovery knew the change and was reachable.
-    pub told_within: Duration,
+    pub delivered_within: Duration,
     /// This long after a new config came into force.
-    pub told_after_reload: Duration,
+    pub delivered_after_reload: Duration,
 }
 
 /// Limits of the marshal, and the optional features of its platform.
 #[derive(Clone, Copy, Debug)]
-pub struct LimitTerms {
+pub struct LimitConfig {
     /// Maximum picks per RPC.
-    pub most_picks: usize,
+    pub max_picks: usize,
     /// An RPC may have more than one pick in flight.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Picks can be cancelled.
     pub cancel: bool,
     /// Nodes can be probed.
@@ -148,14 +148,14 @@
     /// Marshals can send data to one another.
     pub peers: bool,
     /// Idle connections are closed after this time.
-    pub idle_kept: Duration,
+    pub idle_timeout: Duration,
     /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
     pub retry_after: Option<Duration>,
 }
 
 /// The complete config of a marshal.
 #[derive(Clone, Debug)]
-pub struct RolloutTerms {
+pub struct RolloutConfig {
     /// Seed of all pseudorandom draws.
     pub seed: u64,
     /// Index of this marshal among all.
@@ -165,18 +165,18 @@
     /// The zone in which this marshal runs.
     pub zone: usize,
     /// The marshal must request the node list from discovery.
-    pub ask_discovery: bool,
-    pub methods: Vec<MethodTerms>,
-    pub tenants: Vec<TenantTerms>,
+    pub polls_discovery: bool,
+    pub methods: Vec<MethodConfig>,
+    pub tenants: Vec<TenantConfig>,
     /// Factor on the utility of answers to a tenant beyond its share.
     pub over_share_utility: f64,
     /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
     /// Number of node kinds.
     pub kinds: usize,
-    pub release: ReleaseTerms,
-    pub rules: RuleTerms,
-    pub limits: LimitTerms,
+    pub release: ReleaseConfig,
+    pub rules: RuleConfig,
+    pub limits: LimitConfig,
 }
 
 /// Whether a node accepts new work, as discovery lists it.
@@ -193,7 +193,7 @@
 pub struct NodeEntry {
     pub node: NodeIx,
     /// Hash of the node's address, the same at every marshal; it carries no order or location.
-    pub name: u64,
+    pub address_hash: u64,
     /// Machine type.
     pub kind: usize,
     /// Capacity in relation to other nodes; 0 where unknown.
@@ -209,36 +209,36 @@
 /// Which part of the nodes the module is told of, where the list is too large for one marshal. Arrays hold
 /// the arm of the earlier builds first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sight {
+pub struct ListCoverage {
     /// The newest build listed; all others belong to the arm of the earlier builds.
     pub newest: Build,
     /// The part of the arm's ready nodes that this module is told of.
-    pub seen: [f64; 2],
+    pub listed_part: [f64; 2],
     /// The part of all marshals that are told of any given node of the arm.
-    pub holders: [f64; 2],
+    pub marshal_part: [f64; 2],
 }
 
-impl Default for Sight {
+impl Default for ListCoverage {
     /// Every marshal is told of all nodes.
     fn default() -> Self {
-        Sight { newest: 0, seen: [1.0; 2], holders: [1.0; 2] }
+        ListCoverage { newest: 0, listed_part: [1.0; 2], marshal_part: [1.0; 2] }
     }
 }
 
-impl Sight {
+impl ListCoverage {
     /// The part of the nodes in a build's arm that this module is told of.
-    pub fn seen(&self, build: Build) -> f64 {
-        self.seen[usize::from(build == self.newest)]
+    pub fn listed_part(&self, build: Build) -> f64 {
+        self.listed_part[usize::from(build == self.newest)]
     }
     /// The part of all marshals that are told of any given node of a build.
-    pub fn holders(&self, build: Build) -> f64 {
-        self.holders[usize::from(build == self.newest)]
+    pub fn marshal_part(&self, build: Build) -> f64 {
+        self.marshal_part[usize::from(build == self.newest)]
     }
 }
 
 /// The origin of a node list update, and whether it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListUpdate {
     /// A call to discovery failed, or the subscription broke; without entries.
     Failed,
     /// The complete list from before the start.
@@ -254,18 +254,18 @@
 
 /// What a call revealed about discovery, where the marshal talks to it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiscoverySign {
+pub enum DiscoverySignal {
     /// A complete answer: the list was known in full at `as_of`. The next sign is due within `next_within`.
     Confirmed { as_of: Duration, next_within: Duration },
     /// Discovery itself ended an established watch: it is shutting down. The list was known in full until
     /// now.
-    WentDown,
+    ShuttingDown,
     /// Nothing listens at its address.
     Unreachable,
     /// A call made at `asked` was refused after a wait: discovery is down, or has too many callers.
     RefusedLate { asked: Duration },
     /// A call was refused at once, or accepted and not answered: discovery is up.
-    Lives,
+    Responsive,
     /// A new config is in force.
     Reloaded,
 }
@@ -278,7 +278,7 @@
     Error,
     /// The answer could not be read; may have been executed. This does not implicate the build: a fault on
     /// the connection to any node may corrupt an answer.
-    Garbled,
+    Malformed,
     /// The node refused it unread; not executed.
     Full,
     /// No answer in time; may have been executed.
@@ -290,19 +290,19 @@
     /// Cancelled; may have been executed.
     Cancelled,
     /// Not sent; not executed.
-    Moot,
+    NotAttempted,
 }
 
 impl Outcome {
     /// Whether the outcome proves that the pick was not executed.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotAttempted)
     }
 }
 
 /// State of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Course {
+pub enum RolloutState {
     OnTrial,
     GoingBack,
     Released,
@@ -313,7 +313,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteReply {
     /// The event answers no vote.
-    Unasked,
+    Unsolicited,
     /// The vote counts.
     Counts,
     /// The vote makes no difference any more.
@@ -334,7 +334,7 @@
     /// RPCs in the queue.
     pub queue: Option<f64>,
     /// Utilization.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Mean latency in milliseconds.
     pub latency: Option<f64>,
     /// RPCs per second.
@@ -347,20 +347,20 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The node list or a change of it, or a failure to get one.
-    Nodes { scope: Scope, nodes: Vec<NodeEntry> },
+    Nodes { update: ListUpdate, nodes: Vec<NodeEntry> },
     /// Sent in addition to `Nodes`; never by the simulator, which reports a broken subscription instead.
-    Discovery(DiscoverySign),
+    Discovery(DiscoverySignal),
     /// Sent before the `Nodes` event that it applies to; never where the module is told of all nodes.
-    Sight(Sight),
-    /// An RPC of a client. `left`: time until its deadline; `repeated`: the client itself has sent it before.
+    ListCoverage(ListCoverage),
+    /// An RPC of a client. `time_left`: time until its deadline; `is_retry`: the client itself has sent it before.
     Rpc {
         rpc: RpcIx,
         method: usize,
         tenant: Option<usize>,
         key: Option<u64>,
-        left: Duration,
+        time_left: Duration,
         work: Option<Duration>,
-        repeated: bool,
+        is_retry: bool,
     },
     /// A pick ended. `done`: the RPC has its final answer, by this outcome or an earlier one.
     PickEnded {
@@ -378,15 +378,15 @@
     ClientLeft { rpc: RpcIx },
     /// The state of a rollout, as the rollout controller reports it. `age`: time since the stage was
     /// launched.
-    Stage { build: Build, stage: usize, course: Course, reply: VoteReply, cap: f64, age: Duration },
+    Stage { build: Build, stage: usize, state: RolloutState, reply: VoteReply, cap: f64, age: Duration },
     /// The platform's counts over a sample of all picks of one past period.
-    Sums { build: Build, method: usize, picks: u32, failed: u32, mean: Duration, age: Duration },
+    ControllerCounts { build: Build, method: usize, picks: u32, failed: u32, mean: Duration, age: Duration },
     /// A client reported an answer as wrong.
     Disputed { node: NodeIx, method: usize, age: Duration },
     /// A probe ended.
     Probed { node: NodeIx, outcome: Outcome, took: Duration, load: Load },
     /// Data from another marshal.
-    Peer { from: usize, text: Vec<u8> },
+    Peer { from: usize, payload: Vec<u8> },
     /// A requested wake-up is due.
     Timer { tag: u64 },
 }
--- a/crates/policy/src/state/canary_analysis.rs
+++ b/crates/policy/src/state/canary_analysis.rs
@@ -10,7 +10,7 @@
     /// By node index.
     pub records: Vec<NodeRecord>,
     /// Which part of all nodes these are.
-    pub sight: Sight,
+    pub coverage: ListCoverage,
     /// Outcomes of older builds on nodes that are gone, by kind and method.
     pub past_nodes: StatsTable,
     /// Outcomes of the earlier build before the present trial.
@@ -76,7 +76,7 @@
         if self.records.len() <= status.entry.node {
             self.records.resize_with(status.entry.node + 1, NodeRecord::default);
         }
-        self.sight = ctx.sight;
+        self.coverage = ctx.coverage;
         let record = &mut self.records[status.entry.node];
         let new_process =
             (record.entry.build, record.entry.started) != (status.entry.build, status.entry.started);
@@ -124,12 +124,12 @@
     /// Extrapolates the number of listed nodes from these: each stands for those of its arm that this marshal
     /// is not told of.
     fn extrapolated_count<'a>(&self, records: impl Iterator<Item = &'a NodeRecord>) -> f64 {
-        records.map(|b| 1.0 / self.sight.seen(b.entry.build)).sum()
+        records.map(|b| 1.0 / self.coverage.listed_part(b.entry.build)).sum()
     }
 
     /// Stores counts received from a peer. Methods in them count as observed from now on.
     pub fn record_peer_counts(&mut self, place: (u32, usize), counts: (Duration, Build, Vec<ArmPair>)) {
-        let has_outcomes = |p: &ArmPair| p.iter().any(|t| t.n > 0.0);
+        let has_outcomes = |p: &ArmPair| p.iter().any(|t| t.count > 0.0);
         if counts.2.len() == self.question_count() {
             let by_method = |from: usize| {
                 (0..self.method_count).filter(|m| has_outcomes(&counts.2[from + m])).collect::<Vec<_>>()
@@ -152,7 +152,7 @@
     pub fn sends_counts(&self, config: &Config) -> bool {
         config.peers
             && self.question_count() <= MAX_QUESTIONS
-            && self.baseline.iter().any(|l| l.payoff.n > 0.0)
+            && self.baseline.iter().any(|l| l.payoff.count > 0.0)
     }
 
     /// Expands pairs for the observed methods to pairs for all configured methods.
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -4,7 +4,7 @@
 
 use crate::port::*;
 
-/// The config as the decisions use it, derived from [`RolloutTerms`].
+/// The config as the decisions use it, derived from [`RolloutConfig`].
 pub struct Config {
     /// By method.
     pub methods: Vec<MethodParams>,
@@ -99,54 +99,58 @@
 
 impl Config {
     /// Derives the figures from the start config.
-    pub fn new(terms: &RolloutTerms) -> Self {
-        let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
-        let mean = terms.methods.iter().map(|m| m.utility).sum::<f64>() / terms.methods.len() as f64;
-        let marshals = terms.marshals.max(1) as f64;
-        let method = |(i, m): (usize, &MethodTerms)| {
+    pub fn new(rollout_config: &RolloutConfig) -> Self {
+        let (release, rules, limits) =
+            (&rollout_config.release, &rollout_config.rules, &rollout_config.limits);
+        let mean = rollout_config.methods.iter().map(|m| m.utility).sum::<f64>()
+            / rollout_config.methods.len() as f64;
+        let marshals = rollout_config.marshals.max(1) as f64;
+        let method = |(i, m): (usize, &MethodConfig)| {
             let (soft_secs, relative_utility) = (m.soft_deadline.as_secs_f64(), m.utility / mean);
             MethodParams {
                 repeat: m.repeat,
                 soft_secs,
                 relative_utility,
-                exposure_budget: if release.by_method { i } else { 0 },
+                exposure_budget: if release.exposure_by_method { i } else { 0 },
             }
         };
-        let methods: Vec<MethodParams> = terms.methods.iter().enumerate().map(method).collect();
-        let (window, free, one_way) = (release.window, release.free, release.one_way);
+        let methods: Vec<MethodParams> = rollout_config.methods.iter().enumerate().map(method).collect();
+        let (window, free, one_way) = (release.exposure_window, release.free_picks, release.one_way);
         let (first_cap, guarded_stages) =
-            (release.caps.first().copied().unwrap_or(0.0), release.guarded_stages);
+            (release.exposure_caps.first().copied().unwrap_or(0.0), release.guarded_stages);
         Config {
             min_soft_secs: methods.iter().map(|m| m.soft_secs).fold(f64::INFINITY, f64::min),
             methods,
             exposure: ExposureParams { first_cap, window, free, guarded_stages, one_way },
-            most_picks: limits.most_picks,
-            second_copies: limits.second_copies,
+            most_picks: limits.max_picks,
+            second_copies: limits.hedging,
             retry_after: limits.retry_after,
-            cold_start_part: rules.cold_from,
-            warm_up: rules.warm_within,
-            slow_start_window: rules.fall_window,
-            slow_start_secs: rules.fall_multiple * rules.fall_window.as_secs_f64(),
+            cold_start_part: rules.cold_start_part,
+            warm_up: rules.warm_up,
+            slow_start_window: rules.slow_start_window,
+            slow_start_secs: rules.slow_start_multiple * rules.slow_start_window.as_secs_f64(),
             by_votes: release.control == Control::Votes,
             shares: release.shares.clone(),
             vote_life: release.vote_life,
             vote_wait: release.vote_wait,
             vote_gap_secs: marshals / release.vote_rate,
-            promote_votes: release.on_votes as f64,
+            promote_votes: release.promote_votes as f64,
             max_counted_votes: release.vote_rate * (release.vote_life.as_secs_f64() + 2.0),
-            rollback_part: release.back_votes.max(1) as f64 / marshals,
+            rollback_part: release.rollback_votes.max(1) as f64 / marshals,
             peers: limits.peers,
             rehearsal_stage: release.shares.len().checked_sub(1).filter(|_| !release.in_place),
-            kinds: terms.kinds.max(1),
-            warm_keys: terms.warm_keys,
-            call_pause_secs: terms.ask_discovery.then(|| 1.0 + terms.marshal as f64 / marshals),
-            max_call_gap: if rules.ask_within.is_zero() { Duration::MAX } else { rules.ask_within },
-            seed: terms.seed,
-            phase: terms.marshal as f64 / marshals,
+            kinds: rollout_config.kinds.max(1),
+            warm_keys: rollout_config.warm_keys,
+            call_pause_secs: rollout_config
+                .polls_discovery
+                .then(|| 1.0 + rollout_config.marshal as f64 / marshals),
+            max_call_gap: if rules.max_call_gap.is_zero() { Duration::MAX } else { rules.max_call_gap },
+            seed: rollout_config.seed,
+            phase: rollout_config.marshal as f64 / marshals,
             marshals,
-            idle_kept_secs: limits.idle_kept.as_secs_f64(),
-            marshal_count: terms.marshals.max(1),
-            marshal: terms.marshal,
+            idle_kept_secs: limits.idle_timeout.as_secs_f64(),
+            marshal_count: rollout_config.marshals.max(1),
+            marshal: rollout_config.marshal,
         }
     }
 
--- a/crates/policy/src/state/discovery_client.rs
+++ b/crates/policy/src/state/discovery_client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::port::ListLeaseTerms;
+use crate::port::ListLeaseConfig;
 
 /// The subscription to the node list, and when to request it.
 #[derive(Default)]
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct ListLease {
     /// None: the list is valid forever.
-    pub terms: Option<ListLeaseTerms>,
+    pub rollout_config: Option<ListLeaseConfig>,
     /// How long a node may still be sent to once it counts as announced to be draining.
     pub drain_grace: Duration,
     /// End of the lease; none before the first event.
--- a/crates/policy/src/state/dispatcher.rs
+++ b/crates/policy/src/state/dispatcher.rs
@@ -243,8 +243,9 @@
 
     /// Whether a rollout is in its last stage and the earlier machines still run.
     pub fn last_stage(&self, ctx: &Context) -> bool {
-        let trial =
-            |n: &RolloutStatus| n.course == Course::OnTrial && Some(n.stage) == ctx.config.rehearsal_stage;
+        let trial = |n: &RolloutStatus| {
+            n.state == RolloutState::OnTrial && Some(n.stage) == ctx.config.rehearsal_stage
+        };
         self.send_rules.rollout.as_ref().is_some_and(trial)
     }
 
@@ -271,7 +272,7 @@
         let cold_capacity =
             |arm: usize| self.arms[arm][..self.cold_nodes[arm]].iter().map(node_capacity).sum();
         self.cold_capacity = [cold_capacity(0), cold_capacity(1)];
-        let fleet_capacity = |node| node_capacity(node) / ctx.sight.seen(entry(node).build);
+        let fleet_capacity = |node| node_capacity(node) / ctx.coverage.listed_part(entry(node).build);
         self.fleet_capacity = [0, 1].map(|arm: usize| self.arms[arm].iter().map(fleet_capacity).sum());
         self.fair_capacity = (self.fleet_capacity[0] + self.fleet_capacity[1]) / ctx.config.marshals;
         self.lists_stale = false;
--- a/crates/policy/src/state/memory.rs
+++ b/crates/policy/src/state/memory.rs
@@ -54,7 +54,7 @@
             return false;
         };
         // Builds before the one on trial were released earlier.
-        let released = self.rollout.is_some_and(|n| n.course == Course::Released || n.build > *newest);
+        let released = self.rollout.is_some_and(|n| n.state == RolloutState::Released || n.build > *newest);
         let listed = || ctx.listed.values().filter(|e| e.readiness != Readiness::Gone);
         !released || listed().any(|e| e.build < *newest)
     }
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -48,7 +48,7 @@
     /// Each node as last listed.
     pub listed: BTreeMap<NodeIx, NodeEntry>,
     /// Which part of all nodes that is.
-    pub sight: Sight,
+    pub coverage: ListCoverage,
     /// Inboxes by component, see [`DISPATCHER`] to [`FIRST_NODE`].
     pub inboxes: Vec<VecDeque<Message>>,
     /// Inboxes that are not empty.
@@ -68,7 +68,7 @@
             now: Duration::ZERO,
             config,
             listed: BTreeMap::new(),
-            sight: Sight::default(),
+            coverage: ListCoverage::default(),
             inboxes,
             nonempty: BTreeSet::new(),
             active_nodes: BTreeSet::new(),
@@ -107,9 +107,9 @@
     /// Queues an event for the components that it concerns.
     pub fn route(&mut self, event: Event) {
         let to = match &event {
-            Event::Nodes { scope, nodes } => {
+            Event::Nodes { update, nodes } => {
                 // Nodes missing from a complete list are gone.
-                let complete = matches!(scope, Scope::Full | Scope::Cached);
+                let complete = matches!(update, ListUpdate::Full | ListUpdate::Cached);
                 let entries_named: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
                 let missing = |e: &&NodeEntry| complete && !entries_named.contains(&e.node);
                 let listed = self.listed.values().filter(missing);
@@ -126,8 +126,8 @@
                 self.lease.observe(self.now, *sign);
                 DISCOVERY_CLIENT
             }
-            Event::Sight(sight) => {
-                self.sight = *sight;
+            Event::ListCoverage(coverage) => {
+                self.coverage = *coverage;
                 return;
             }
             Event::PickEnded { node, .. } => {
@@ -173,7 +173,7 @@
     pub build: Build,
     pub stage: usize,
     /// Whether the build is on trial, released or rolled back.
-    pub course: Course,
+    pub state: RolloutState,
     /// Exposure cap.
     pub cap: f64,
     /// When the stage was launched.
@@ -183,11 +183,11 @@
 impl RolloutStatus {
     /// Whether the build is being rolled back, or has been.
     pub fn is_rolled_back(&self) -> bool {
-        matches!(self.course, Course::GoingBack | Course::Withdrawn)
+        matches!(self.state, RolloutState::GoingBack | RolloutState::Withdrawn)
     }
     /// Reads a stage event, with the reply to a vote that it carries.
     pub fn read(ctx: &Context, event: &Event) -> Option<(RolloutStatus, VoteReply)> {
-        let &Event::Stage { build, stage, course, reply, cap, age } = event else { return None };
-        Some((RolloutStatus { build, stage, course, cap, launched: ctx.now.saturating_sub(age) }, reply))
+        let &Event::Stage { build, stage, state, reply, cap, age } = event else { return None };
+        Some((RolloutStatus { build, stage, state, cap, launched: ctx.now.saturating_sub(age) }, reply))
     }
 }
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -9,26 +9,26 @@
 /// A two-bin histogram: the number of outcomes, and how many of them were good.
 #[derive(Clone, Copy, Default)]
 pub struct Tally {
-    pub n: f64,
+    pub count: f64,
     pub good: f64,
 }
 
 impl Tally {
     /// The tally of one outcome.
     pub fn one(good: bool) -> Tally {
-        Tally { n: 1.0, good: f64::from(u8::from(good)) }
+        Tally { count: 1.0, good: f64::from(u8::from(good)) }
     }
     /// Adds `part` times another tally.
     pub fn add(&mut self, other: Tally, part: f64) {
-        *self = Tally { n: self.n + part * other.n, good: self.good + part * other.good };
+        *self = Tally { count: self.count + part * other.count, good: self.good + part * other.good };
     }
     /// The part of good outcomes.
     pub fn mean(&self) -> f64 {
-        self.good / self.n.max(1e-9)
+        self.good / self.count.max(1e-9)
     }
     /// Number of outcomes that were not good.
     pub fn missed(&self) -> f64 {
-        self.n - self.good
+        self.count - self.good
     }
 }
 
@@ -56,7 +56,7 @@
 
 impl OutcomeStats {
     pub const EMPTY: OutcomeStats = {
-        let none = Tally { n: 0.0, good: 0.0 };
+        let none = Tally { count: 0.0, good: 0.0 };
         OutcomeStats { payoff: none, soundness: none, readable: none, latencies: [0.0; 16] }
     };
     /// Adds `part` times other statistics.
@@ -88,13 +88,14 @@
     }
     /// Answers up to a bin, out of all.
     pub fn up_to(&self, edge: usize) -> Tally {
-        Tally { n: self.latencies.iter().sum(), good: self.latencies[..=edge].iter().sum() }
+        Tally { count: self.latencies.iter().sum(), good: self.latencies[..=edge].iter().sum() }
     }
     /// Takes back an error that neither the node nor its build caused. `young`: it was not counted for
     /// payoff.
     pub fn remove_error(&mut self, young: bool) {
-        self.soundness.n = (self.soundness.n - 1.0).max(self.soundness.good);
-        self.payoff.n = if young { self.payoff.n } else { (self.payoff.n - 1.0).max(self.payoff.good) };
+        self.soundness.count = (self.soundness.count - 1.0).max(self.soundness.good);
+        self.payoff.count =
+            if young { self.payoff.count } else { (self.payoff.count - 1.0).max(self.payoff.good) };
     }
     /// Clears payoff and latencies.
     pub fn clear_lateness(&mut self) {
@@ -230,7 +231,7 @@
             for MethodStats { stats, .. } in &self.methods {
                 misses += stats.misses();
                 add_pair(&mut soundness_and_payoff, &[stats.soundness, stats.payoff]);
-                used |= stats.soundness.n + stats.payoff.n > 0.0;
+                used |= stats.soundness.count + stats.payoff.count > 0.0;
             }
             StatsTotals { misses, soundness_and_payoff, used }
         });
--- a/crates/policy/src/state/peer_counts.rs
+++ b/crates/policy/src/state/peer_counts.rs
@@ -10,7 +10,7 @@
 /// level, then four counts per question. Large counts are scaled down together. Losing or repeating a message
 /// does no harm.
 pub fn encode_counts(build: Build, abstains: bool, level: u32, pairs: &[ArmPair]) -> Vec<u8> {
-    let counts = || pairs.iter().flatten().flat_map(|t| [t.n, t.good]);
+    let counts = || pairs.iter().flatten().flat_map(|t| [t.count, t.good]);
     let scale = (65535.0 / counts().fold(1.0, f64::max)).min(1.0);
     let head = [build as u16, u16::from(abstains) + 2 * level as u16];
     let words = head.into_iter().chain(counts().map(|x| (x.max(0.0) * scale) as u16));
@@ -21,7 +21,7 @@
 pub fn decode_counts(text: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
     let words: Vec<u16> = text.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
     let [build, head, counts @ ..] = &words[..] else { return None };
-    let tally = |n: u16, good: u16| Tally { n: n.into(), good: good.min(n).into() };
+    let tally = |n: u16, good: u16| Tally { count: n.into(), good: good.min(n).into() };
     let pairs = counts.chunks_exact(4).map(|w| [tally(w[0], w[1]), tally(w[2], w[3])]);
     Some(((*build).into(), head % 2 != 0, (head / 2).into(), pairs.collect()))
 }
@@ -35,6 +35,6 @@
 
 /// Describes a question with the counts of both arms, for the log: new arm first, good outcomes of all.
 pub fn describe_pair(question: usize, [new, old]: &ArmPair) -> String {
-    let (n, o) = ((new.good, new.n), (old.good, old.n));
+    let (n, o) = ((new.good, new.count), (old.good, old.count));
     format!(", question {question}: {:.0}/{:.0} beside {:.0}/{:.0}", n.0, n.1, o.0, o.1)
 }
--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -375,7 +375,7 @@
         // Load 0.5 of 8 nodes with 2 cores each, at 50 ms per RPC.
         assert!((day.traffic.rate - 160.0).abs() < 1.0, "{}", day.traffic.rate);
         assert_eq!(
-            (day.marshals, day.fleet.nodes, day.release.on_votes, day.release.back_votes),
+            (day.marshals, day.fleet.nodes, day.release.promote_votes, day.release.rollback_votes),
             (3, 8, 2, 2)
         );
         assert!((day.faults[0].severity - 0.125).abs() < 1e-6, "one of eight nodes crashes");
