--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ivydrift_audit::trace;
-use ivydrift_policy::port::{Group, MethodTerms, ReleaseTerms, Repeat, RuleTerms};
+use ivydrift_policy::port::{Group, MethodConfig, ReleaseConfig, Repeat, RuleConfig};
 use ivydrift_terms::sheet::{Complaints, Page, Sheet};
 
 use crate::platform_stats::Sampling;
@@ -213,9 +213,9 @@
     pub zones: Vec<String>,
     /// Marshals may exchange reports with each other.
     pub peers: bool,
-    pub methods: Vec<(String, MethodTerms, Work)>,
-    pub release: ReleaseTerms,
-    pub rules: RuleTerms,
+    pub methods: Vec<(String, MethodConfig, Work)>,
+    pub release: ReleaseConfig,
+    pub rules: RuleConfig,
     pub fleet: Fleet,
     pub traffic: Traffic,
     pub rollouts: Vec<PlannedRollout>,
@@ -250,7 +250,7 @@
     let seconds = |s: f64| Some(Duration::from_secs_f64(s));
     let zones = top.texts("zones", Some(vec!["site-a".to_owned()]));
     let marshals = top.whole("marshals", Some(3), 1..=500) as usize;
-    let methods: Vec<(String, MethodTerms)> =
+    let methods: Vec<(String, MethodConfig)> =
         top.labelled("method", |name, s| (name.to_owned(), ivydrift_terms::method(s)));
     if methods.is_empty() {
         top.complain(None, "no method is named: write at least one method \"its-path\" { ... }");
@@ -394,7 +394,7 @@
     /// The limits that the trace checker applies. `slack`: how far apart two observers may see the same event.
     pub fn law(&self, slack: Duration) -> trace::Law {
         let us = |d: Duration| d.as_micros() as u64;
-        let method = |(name, terms, _): &(String, MethodTerms, Work)| {
+        let method = |(name, terms, _): &(String, MethodConfig, Work)| {
             let (repeat, group, window) = match terms.repeat {
                 Repeat::Idempotent => (trace::Repeat::Idempotent, Group::All, Duration::ZERO),
                 Repeat::NonIdempotent => (trace::Repeat::NonIdempotent, Group::All, Duration::ZERO),
@@ -410,14 +410,14 @@
         trace::Law {
             methods: self.methods.iter().map(method).collect(),
             drain_grace_us: us(self.rules.drain_grace),
-            cold_from: self.rules.cold_from,
-            warm_us: us(self.rules.warm_within),
-            fall_multiple: self.rules.fall_multiple,
-            fall_us: us(self.rules.fall_window),
-            window_us: us(self.release.window),
-            free: self.release.free,
-            first_cap: self.release.caps.first().copied().unwrap_or(0.0),
-            by_method: self.release.by_method,
+            cold_from: self.rules.cold_start_part,
+            warm_us: us(self.rules.warm_up),
+            fall_multiple: self.rules.slow_start_multiple,
+            fall_us: us(self.rules.slow_start_window),
+            window_us: us(self.release.exposure_window),
+            free: self.release.free_picks,
+            first_cap: self.release.exposure_caps.first().copied().unwrap_or(0.0),
+            by_method: self.release.exposure_by_method,
             guarded: self.release.guarded_stages as u32,
             one_way: self.release.one_way,
             copies: false,
--- a/crates/standin/src/platform_stats.rs
+++ b/crates/standin/src/platform_stats.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use ivydrift_wire::desk::Sums;
+use ivydrift_wire::desk::ControllerCounts;
 
 /// How the platform samples picks.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,14 +81,16 @@
     }
 
     /// The periods that are due for a marshal and that it has not seen.
-    pub fn take_due(&mut self, now: Duration, marshal: usize, delay: Duration, names: &[&str]) -> Vec<Sums> {
+    pub fn take_due(
+        &mut self, now: Duration, marshal: usize, delay: Duration, names: &[&str],
+    ) -> Vec<ControllerCounts> {
         let latest = self.reported.get(&marshal).copied().unwrap_or(0);
         let due = |p: &&Period| p.number > latest && p.ended + delay <= now;
         let mut sums = Vec::new();
         for period in self.past_periods.iter().filter(due) {
             for (&(build, method), count) in &period.counts {
                 let served = count.picks - count.failed;
-                sums.push(Sums {
+                sums.push(ControllerCounts {
                     build,
                     method: names[method].to_owned(),
                     picks: count.picks,
--- a/crates/standin/src/services/mod.rs
+++ b/crates/standin/src/services/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ivydrift_audit::trace::{Course, Law, Line, Seen, State, Turn};
+use ivydrift_audit::trace::{Law, Line, RolloutState, Seen, State, Turn};
 use ivydrift_audit::{Auditor, Report};
 
 pub use client::{Ask, Reply};
@@ -93,12 +93,12 @@
 }
 
 /// Build, stage, course and cap of a rollout.
-type RolloutState = (u32, u32, Course, f64);
+type StageState = (u32, u32, RolloutState, f64);
 
 struct Service {
     /// Versions of the node list and of the rollout state.
     index: [u64; 2],
-    rollout: RolloutState,
+    rollout: StageState,
     /// When the rollout state was set.
     rollout_since: Instant,
     manner: Manner,
@@ -126,7 +126,7 @@
     /// By marshal and service: the node states it was told.
     told_nodes: HashMap<(u32, String), BTreeMap<u32, State>>,
     /// By marshal and service: the rollout state it was told.
-    told_rollouts: HashMap<(u32, String), RolloutState>,
+    told_rollouts: HashMap<(u32, String), StageState>,
     questions: Vec<Question>,
     votes: Vec<Vote>,
     got: Vec<Got>,
@@ -228,7 +228,7 @@
     pub fn add(&self, service: &str) {
         let entry = || Service {
             index: [1, 1],
-            rollout: (1, 2, Course::Released, 1.0),
+            rollout: (1, 2, RolloutState::Released, 1.0),
             rollout_since: self.shared.started,
             manner: Manner::Fine,
         };
@@ -328,7 +328,7 @@
     }
 
     /// Sets the rollout state of a service.
-    pub fn stage(&self, service: &str, (build, stage, course, cap): (u32, u32, Course, f64)) {
+    pub fn stage(&self, service: &str, (build, stage, course, cap): (u32, u32, RolloutState, f64)) {
         self.with(|env, _| {
             if let Some(entry) = env.services.get_mut(service) {
                 (entry.rollout, entry.rollout_since) = ((build, stage, course, cap), Instant::now());
--- a/crates/standin/src/services/servers.rs
+++ b/crates/standin/src/services/servers.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ivydrift_audit::trace::{Course, Repeat, Seen, State};
+use ivydrift_audit::trace::{Repeat, RolloutState, Seen, State};
 use serde_json::{json, Value};
 
 use super::http::{self, Message};
@@ -222,12 +222,12 @@
     Some((at, body))
 }
 
-fn course_name(course: Course) -> &'static str {
+fn course_name(course: RolloutState) -> &'static str {
     match course {
-        Course::OnTrial => "on-trial",
-        Course::GoingBack => "going-back",
-        Course::Released => "released",
-        Course::Withdrawn => "withdrawn",
+        RolloutState::OnTrial => "on-trial",
+        RolloutState::GoingBack => "going-back",
+        RolloutState::Released => "released",
+        RolloutState::Withdrawn => "withdrawn",
     }
 }
 
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -117,7 +117,7 @@
     pub bounds: Bounds,
     /// None: all listed nodes are used.
     pub subset: Option<SubsetTerms>,
-    pub rollout: RolloutTerms,
+    pub rollout: RolloutConfig,
     /// Names of methods, by the indices used in the policy. `tenants`, `zones` and `kinds` do the same for their kind.
     pub methods: Names,
     /// The service of each method. Methods without an entry belong to [`Places::service`].
@@ -224,7 +224,7 @@
     }
     let tenants = top.labelled("tenant", |name, block| {
         let quota = block.number("quota", None, 0.0..=f64::INFINITY);
-        (name.to_owned(), TenantTerms { quota, share: block.number("share", None, 0.0..=1.0) })
+        (name.to_owned(), TenantConfig { quota, share: block.number("share", None, 0.0..=1.0) })
     });
     let bounds = top.block("bounds", |block| Bounds {
         clients: block.whole("clients", Some(10_000), 1..=1_000_000) as usize,
@@ -246,13 +246,13 @@
         reserve: block.span("reserve", Some(Duration::from_millis(20))),
         workers: block.whole("workers", Some(2), 1..=256) as usize,
     });
-    let limits = top.block("limits", |block| LimitTerms {
-        most_picks: block.whole("most_picks", Some(4), 1..=100) as usize,
-        second_copies: block.flag("second_copies", Some(false)),
+    let limits = top.block("limits", |block| LimitConfig {
+        max_picks: block.whole("most_picks", Some(4), 1..=100) as usize,
+        hedging: block.flag("second_copies", Some(false)),
         cancel: block.flag("cancel", Some(true)),
         probes: false,
         peers: !places.peers.is_empty(),
-        idle_kept: block.span("idle_kept", Some(Duration::from_secs(30))),
+        idle_timeout: block.span("idle_kept", Some(Duration::from_secs(30))),
         retry_after: Some(block.span("retry_after", Some(Duration::from_secs(2)))).filter(|d| !d.is_zero()),
     });
     let rules = top.block("rules", rules);
@@ -263,13 +263,13 @@
     let subset = subset::subset(top, &zones, (marshal, marshals, zone));
     let (tenant_names, tenant_terms) =
         (tenants.iter().map(|tenant| &tenant.0).collect(), tenants.iter().map(|tenant| tenant.1).collect());
-    let rollout = RolloutTerms {
+    let rollout = RolloutConfig {
         seed,
         marshal,
         marshals,
         zone,
         // A blocking query is a subscription that can fail, so the policy decides when to query again.
-        ask_discovery: true,
+        polls_discovery: true,
         methods: method_terms,
         tenants: tenant_terms,
         over_share_utility: top.number("over_share_utility", Some(1.0), 0.0..=1.0),
@@ -324,14 +324,14 @@
 }
 
 /// Reads the block `rules`.
-pub fn rules(block: &Sheet) -> RuleTerms {
-    RuleTerms {
+pub fn rules(block: &Sheet) -> RuleConfig {
+    RuleConfig {
         drain_grace: block.span("drain_grace", Some(Duration::from_secs(1))),
-        cold_from: block.number("cold_from", Some(0.4), 0.01..=1.0),
-        warm_within: block.span("warm_within", Some(Duration::from_secs(5))),
-        fall_multiple: block.number("fall_multiple", Some(3.0), 1.0..=1000.0),
-        fall_window: block.span("fall_window", Some(Duration::from_secs(1))),
-        ask_within: block.span("ask_within", Some(Duration::from_secs(10))),
+        cold_start_part: block.number("cold_from", Some(0.4), 0.01..=1.0),
+        warm_up: block.span("warm_within", Some(Duration::from_secs(5))),
+        slow_start_multiple: block.number("fall_multiple", Some(3.0), 1.0..=1000.0),
+        slow_start_window: block.span("fall_window", Some(Duration::from_secs(1))),
+        max_call_gap: block.span("ask_within", Some(Duration::from_secs(10))),
         list_lease: None,
     }
 }
@@ -345,7 +345,7 @@
 }
 
 /// Reads a `method` block.
-pub fn method(block: &Sheet) -> MethodTerms {
+pub fn method(block: &Sheet) -> MethodConfig {
     let repeat_kinds = [
         ("idempotent", RepeatKind::Idempotent),
         ("tokened", RepeatKind::Tokened),
@@ -369,7 +369,7 @@
     if soft_deadline.is_zero() && block.has("soft_deadline") {
         block.complain(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
     }
-    MethodTerms {
+    MethodConfig {
         repeat,
         soft_deadline,
         stretch: 0.0,
@@ -381,7 +381,7 @@
 }
 
 /// Reads the block `release`. The default vote counts depend on the number of marshals.
-pub fn release(block: &Sheet, marshals: usize) -> ReleaseTerms {
+pub fn release(block: &Sheet, marshals: usize) -> ReleaseConfig {
     let shares = block.numbers("shares", Some(vec![0.1, 0.35, 1.0]), 0.0..=1.0);
     let caps = block.numbers("caps", Some(vec![0.14, 0.49, 1.0]), 0.0..=1.0);
     if shares.len() != caps.len() || shares.is_empty() {
@@ -393,23 +393,23 @@
         block.complain(Some("caps"), message);
     }
     let marshals = marshals as u64;
-    ReleaseTerms {
+    ReleaseConfig {
         control: block.one_of(
             "control",
             Some(Control::Votes),
             &[("votes", Control::Votes), ("clock", Control::Clock)],
         ),
-        on_votes: block.whole("on_votes", Some(marshals.div_ceil(2)), 1..=marshals) as usize,
-        back_votes: block.whole("back_votes", Some(marshals.div_ceil(3)), 1..=marshals) as usize,
+        promote_votes: block.whole("on_votes", Some(marshals.div_ceil(2)), 1..=marshals) as usize,
+        rollback_votes: block.whole("back_votes", Some(marshals.div_ceil(3)), 1..=marshals) as usize,
         shares,
-        caps,
-        window: block.span("window", Some(Duration::from_secs(3))),
-        free: block.number("free", Some(2.0), 0.0..=1e6),
-        by_method: block.flag("by_method", Some(false)),
+        exposure_caps: caps,
+        exposure_window: block.span("window", Some(Duration::from_secs(3))),
+        free_picks: block.number("free", Some(2.0), 0.0..=1e6),
+        exposure_by_method: block.flag("by_method", Some(false)),
         guarded_stages: block.whole("guarded_stages", Some(0), 0..=100) as usize,
         one_way: block.flag("one_way", Some(false)),
         in_place: block.flag("in_place", Some(false)),
-        bake: block.span("bake", Some(Duration::from_secs(1))),
+        min_stage_time: block.span("bake", Some(Duration::from_secs(1))),
         vote_life: block.span("vote_life", Some(Duration::from_secs(4))),
         vote_wait: block.span("vote_wait", Some(Duration::from_millis(800))),
         vote_rate: block.number("vote_rate", Some(80.0), 0.1..=1e6),
--- a/crates/wire/src/desk.rs
+++ b/crates/wire/src/desk.rs
@@ -9,7 +9,7 @@
 /// Rollout state of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Course {
+pub enum RolloutState {
     /// Running on part of the fleet.
     OnTrial,
     /// Being rolled back.
@@ -25,7 +25,7 @@
 pub struct Stage {
     pub build: u32,
     pub stage: u32,
-    pub course: Course,
+    pub course: RolloutState,
     /// Exposure cap, 0 to 1.
     pub cap: f64,
     /// Time since the build entered this stage and state.
@@ -34,7 +34,7 @@
 
 /// The platform's totals over a sample of the picks of one build and method in one past period.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sums {
+pub struct ControllerCounts {
     pub build: u32,
     pub method: String,
     pub picks: u32,
@@ -59,7 +59,7 @@
     pub index: u64,
     pub stage: Option<Stage>,
     #[serde(default)]
-    pub sums: Vec<Sums>,
+    pub sums: Vec<ControllerCounts>,
     #[serde(default)]
     pub disputed: Vec<Disputed>,
 }
@@ -195,7 +195,7 @@
     #[test]
     fn a_cap_out_of_range_is_rejected() {
         let news = |cap: f64| {
-            let stage = Stage { build: 2, stage: 0, course: Course::OnTrial, cap, age_ms: 1 };
+            let stage = Stage { build: 2, stage: 0, course: RolloutState::OnTrial, cap, age_ms: 1 };
             let news = News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
             serde_json::to_vec(&news).unwrap()
         };
