--- a/crates/edge/src/clients/caller.rs
+++ b/crates/edge/src/clients/caller.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{Id, Input, Order};
+use ivydrift_marshal::{Command, Id, Input};
 use ivydrift_wire::body::{Part, Walk};
 use ivydrift_wire::http::Refusal;
 
@@ -46,7 +46,7 @@
     /// The connection may stay open after this RPC.
     pub keep_alive: bool,
     /// Orders that came back while the pick ran.
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
     /// The answer has begun to stream to the client.
     pub streaming: bool,
 }
@@ -61,7 +61,7 @@
     /// Tells the core that the pick has consumed body bytes, and how long it waited for them.
     pub fn report_body_read(&self, waited: Duration) {
         let (id, pick) = (self.id, self.pick);
-        self.edge.dispatch(Input::Drawn { id, pick, waited }, id);
+        self.edge.dispatch(Input::BodyConsumed { id, pick, waited }, id);
     }
 }
 
@@ -103,14 +103,14 @@
     }
 
     fn begin_answer(&mut self, answer: &Answer) -> bool {
-        for order in self.edge.dispatch(Input::Began { id: self.id, pick: self.pick }, self.id) {
-            if let Order::Pass { picks, build, .. } = order {
+        for command in self.edge.dispatch(Input::AnswerBegan { id: self.id, pick: self.pick }, self.id) {
+            if let Command::Pass { picks, build, .. } = command {
                 self.streaming = true;
                 let close = !(self.keep_alive && self.remaining.walk.ended());
                 let head = answer.head_bytes(&self.edge.dialect, picks, build, close, self.edge.spread_ms());
                 return self.send_part(&head);
             }
-            self.orders.push(order);
+            self.commands.push(command);
         }
         false
     }
--- a/crates/edge/src/clients/client.rs
+++ b/crates/edge/src/clients/client.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{Id, Order};
+use ivydrift_marshal::{Command, Id};
 use may::sync::Semphore;
 
 use crate::exchange::PickHandle;
@@ -54,7 +54,7 @@
     Evicted,
 }
 
-/// Orders for the RPC in progress that result from events handled by other coroutines.
+/// Commands for the RPC in progress that result from events handled by other coroutines.
 #[derive(Default)]
 struct Mailbox {
     rpc: Option<Id>,
@@ -70,7 +70,7 @@
     pick: Option<PickId>,
     /// Its connection, once established.
     look: Option<Look>,
-    /// The last pick ordered to be cancelled. The order may arrive before that pick has begun.
+    /// The last pick commanded to be cancelled. The command may arrive before that pick has begun.
     cancelled: Option<PickId>,
 }
 
@@ -83,7 +83,7 @@
 
 /// An entry of a client's mailbox.
 pub enum Mail {
-    Order(Order),
+    Command(Command),
     /// The client has disconnected.
     Disconnected,
 }
@@ -172,11 +172,11 @@
         !too_new && self.silent.load(Ordering::Acquire)
     }
 
-    /// Delivers an order from another coroutine. Returns false if its RPC is no longer in progress on this
+    /// Delivers a command from another coroutine. Returns false if its RPC is no longer in progress on this
     /// connection: the caller looked the client up earlier, and the RPC may have ended since. Cancelling the
     /// pick in progress bypasses the mailbox because it cannot wait.
-    pub fn post(&self, order: &Order) -> bool {
-        if let Order::Sever { id, pick } = order {
+    pub fn post(&self, command: &Command) -> bool {
+        if let Command::Sever { id, pick } = command {
             let mut current = self.current.lock().unwrap();
             current.cancelled = Some((*id, *pick));
             if current.is_cancelled() {
@@ -185,9 +185,9 @@
             return true;
         }
         let mut mailbox = self.mailbox.lock().unwrap();
-        let accepted = mailbox.rpc.is_some() && mailbox.rpc == order.rpc();
+        let accepted = mailbox.rpc.is_some() && mailbox.rpc == command.rpc();
         if accepted {
-            mailbox.mail.push_back(Mail::Order(order.clone()));
+            mailbox.mail.push_back(Mail::Command(command.clone()));
             self.wake.post();
         }
         accepted
@@ -200,12 +200,12 @@
         self.wake.post();
     }
 
-    /// Accepts orders for this RPC, and for no other, from now on.
+    /// Accepts commands for this RPC, and for no other, from now on.
     pub(crate) fn open_mailbox(&self, id: Id) {
         *self.mailbox.lock().unwrap() = Mailbox { rpc: Some(id), mail: VecDeque::new() };
     }
 
-    /// Stops accepting orders and returns the unread ones.
+    /// Stops accepting commands and returns the unread ones.
     pub(crate) fn close_mailbox(&self) -> VecDeque<Mail> {
         std::mem::take(&mut *self.mailbox.lock().unwrap()).mail
     }
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{Input, Order, Saw};
+use ivydrift_marshal::{Command, Input, Observation};
 use ivydrift_wire::http::{HeadWriter, Request};
 
 use super::caller::{ConnectionCaller, ReadError, RemainingBody};
@@ -21,7 +21,7 @@
         let (edge, client) = (self.edge, self.client);
         let id = edge.next_rpc_id();
         client.open_mailbox(id);
-        let mut orders: VecDeque<Order> = {
+        let mut commands: VecDeque<Command> = {
             let fields = &request.fields;
             let call = edge.dialect.call(&request.target, fields, left);
             edge.begin_rpc(id, client, Input::Rpc { id, call }).into()
@@ -33,8 +33,8 @@
         let mut buffered: Option<(usize, Answer)> = None;
         let (mut keep_open, mut answered) = (keep_alive, false);
         let delivered = loop {
-            let order = match orders.pop_front().map(Mail::Order).or_else(|| client.next_mail()) {
-                Some(Mail::Order(order)) => order,
+            let command = match commands.pop_front().map(Mail::Command).or_else(|| client.next_mail()) {
+                Some(Mail::Command(command)) => command,
                 Some(Mail::Disconnected) => break false,
                 None => {
                     client.wake.wait();
@@ -44,12 +44,12 @@
             // An unread rest of the body would be parsed as the next RPC. Shutdown may also have begun in the
             // meantime.
             keep_open = keep_alive && remaining.walk.ended() && !edge.stopping() && !edge.is_crowded();
-            match order {
-                Order::Pick { .. } if client.disconnected.load(Ordering::Acquire) => {
-                    orders.push_front(order);
+            match command {
+                Command::Pick { .. } if client.disconnected.load(Ordering::Acquire) => {
+                    commands.push_front(command);
                     break false;
                 }
-                Order::Pick { pick, node, by, careful, .. } => {
+                Command::Pick { pick, node, by, careful, .. } => {
                     client.begin_pick(id, pick);
                     let deadline = edge.instant(by);
                     let (connect_timeout, pool, dialect) = (edge.bounds().connect, &edge.pool, &edge.dialect);
@@ -72,35 +72,37 @@
                         id,
                         pick,
                         keep_alive,
-                        orders: vec![],
+                        commands: vec![],
                         streaming: false,
                     };
-                    let (mut saw, answer) = attempt.run(&outgoing, &**client, &mut caller);
+                    let (mut observation, answer) = attempt.run(&outgoing, &**client, &mut caller);
                     let waited = std::mem::take(&mut caller.remaining.waited);
                     if caller.remaining.streamed > 0 {
                         caller.report_body_read(waited);
                     }
                     let streaming = caller.streaming;
-                    if caller.remaining.failure.is_some() || matches!(saw, Saw::Severed) && streaming {
+                    if caller.remaining.failure.is_some()
+                        || matches!(observation, Observation::Cancelled) && streaming
+                    {
                         edge.dispatch(Input::ClientLeft { id }, id);
                     }
-                    orders.extend(caller.orders);
+                    commands.extend(caller.commands);
                     client.end_pick();
                     if client.disconnected.load(Ordering::Acquire) && answer.is_none() {
-                        saw = Saw::Severed;
+                        observation = Observation::Cancelled;
                     }
                     buffered = answer.map(|a| (pick, a)).or(buffered);
-                    orders.extend(edge.dispatch(Input::Ended { id, pick, saw }, id));
+                    commands.extend(edge.dispatch(Input::PickEnded { id, pick, observation }, id));
                     if streaming {
                         answered = true;
-                        let complete = matches!(saw, Saw::Answer { .. });
+                        let complete = matches!(observation, Observation::Answer { .. });
                         break complete;
                     }
                     if remaining.failure.is_some() {
                         break false;
                     }
                 }
-                Order::Pass { pick, picks, build, .. } => {
+                Command::Pass { pick, picks, build, .. } => {
                     let Some((_, answer)) = buffered.take().filter(|h| h.0 == pick) else { break false };
                     let mut bytes =
                         answer.head_bytes(&edge.dialect, picks, build, !keep_open, edge.spread_ms());
@@ -108,23 +110,23 @@
                     answered = true;
                     break self.socket.write(&bytes, Instant::now() + WRITE_TIMEOUT).is_ok();
                 }
-                Order::PushBack { picks, retry_after, why, .. } => {
+                Command::PushBack { picks, retry_after, why, .. } => {
                     let head = edge.dialect.push_back_head(picks, retry_after, why);
                     answered = true;
                     break self.write_answer(head, "pushed back: try again later\n", keep_open);
                 }
-                Order::Abort { picks, why, .. } => {
+                Command::Abort { picks, why, .. } => {
                     let head = edge.dialect.abort_head(picks, why);
                     answered = true;
                     break self.write_answer(head, "aborted: it may have run\n", keep_open);
                 }
-                Order::Reject { status, why, .. } => {
+                Command::Reject { status, why, .. } => {
                     let head = HeadWriter::response(status).field("content-type", "text/plain");
                     answered = true;
                     break self.write_answer(head, &format!("{why}\n"), keep_open);
                 }
-                Order::BreakOff { .. } => break false,
-                // The remaining orders are routed by `post` or do not concern a single RPC.
+                Command::BreakOff { .. } => break false,
+                // The remaining commands are routed by `post` or do not concern a single RPC.
                 _ => {}
             }
         };
@@ -135,11 +137,11 @@
         }
         // Picks that were ordered but never begun, for example because the client left: the core counts them
         // as in flight until it is told otherwise.
-        let unread_orders = client.close_mailbox().into_iter().filter_map(|mail| match mail {
-            Mail::Order(order) => Some(order),
+        let unread_commands = client.close_mailbox().into_iter().filter_map(|mail| match mail {
+            Mail::Command(command) => Some(command),
             Mail::Disconnected => None,
         });
-        orders.into_iter().chain(unread_orders).for_each(|order| edge.discard_order(&order));
+        commands.into_iter().chain(unread_commands).for_each(|command| edge.discard_command(&command));
         match remaining.failure {
             Some(ReadError::Refused(refusal)) => Served::Refuse(refusal),
             None if delivered
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use ivydrift_marshal::{Call, Why};
+use ivydrift_marshal::{Call, FailureReason};
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::rpc as platform_rpc;
 use ivydrift_platform::start::BODY;
@@ -88,9 +88,9 @@
                 method: rpc::method_of(target),
                 tenant: fields.get(rpc::TENANT),
                 key: fields.get(rpc::KEY).and_then(rpc::key_of),
-                tokened: fields.get(rpc::TOKEN).is_some_and(|t| !t.is_empty()),
-                left,
-                repeated: fields.get(rpc::EARLIER_TRIES).is_some_and(|n| n != "0"),
+                has_idempotency_key: fields.get(rpc::TOKEN).is_some_and(|t| !t.is_empty()),
+                time_left: left,
+                is_retry: fields.get(rpc::EARLIER_TRIES).is_some_and(|n| n != "0"),
             },
             Dialect::Platform(_) => {
                 let (tenant, repeated) = platform_rpc::sender(fields);
@@ -98,9 +98,9 @@
                     method: platform_rpc::method_of(target),
                     tenant,
                     key: None,
-                    tokened: false,
-                    left,
-                    repeated,
+                    has_idempotency_key: false,
+                    time_left: left,
+                    is_retry: repeated,
                 }
             }
         }
@@ -155,7 +155,7 @@
         match self {
             Dialect::Native => writer
                 .pass(&head.fields, &NOT_RETURNED)
-                .field(rpc::ANSWER, rpc::Kind::Ok.word())
+                .field(rpc::ANSWER, rpc::Kind::Ok.as_str())
                 .field(rpc::PICKS, picks.to_string())
                 .field(rpc::BUILD, build.to_string()),
             Dialect::Platform(_) => writer.pass(&head.fields, &NOT_RETURNED_PLATFORM),
@@ -163,10 +163,12 @@
     }
 
     /// The response head of a pushed-back RPC, without its framing fields.
-    pub fn push_back_head(&self, picks: usize, retry_after: Option<Duration>, why: Why) -> HeadWriter {
+    pub fn push_back_head(
+        &self, picks: usize, retry_after: Option<Duration>, why: FailureReason,
+    ) -> HeadWriter {
         match self {
             Dialect::Native => {
-                let head = answer_head(503, rpc::Kind::PushedBack, picks, why.word());
+                let head = answer_head(503, rpc::Kind::PushedBack, picks, why.as_str());
                 match retry_after.filter(|wait| !wait.is_zero()) {
                     Some(wait) => head
                         .field("retry-after", wait.as_secs_f64().ceil().to_string())
@@ -179,10 +181,10 @@
     }
 
     /// The response head of an aborted RPC, without its framing fields.
-    pub fn abort_head(&self, picks: usize, why: Why) -> HeadWriter {
-        let status = if why == Why::TimedOut { 504 } else { 502 };
+    pub fn abort_head(&self, picks: usize, why: FailureReason) -> HeadWriter {
+        let status = if why == FailureReason::TimedOut { 504 } else { 502 };
         match self {
-            Dialect::Native => answer_head(status, rpc::Kind::Aborted, picks, why.word()),
+            Dialect::Native => answer_head(status, rpc::Kind::Aborted, picks, why.as_str()),
             Dialect::Platform(_) => HeadWriter::response(status),
         }
     }
@@ -191,7 +193,7 @@
 fn answer_head(status: u16, kind: rpc::Kind, picks: usize, why: &str) -> HeadWriter {
     HeadWriter::response(status)
         .field("content-type", "text/plain")
-        .field(rpc::ANSWER, kind.word())
+        .field(rpc::ANSWER, kind.as_str())
         .field(rpc::PICKS, picks.to_string())
         .field(rpc::WHY, why)
 }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::Saw;
+use ivydrift_marshal::Observation;
 use ivydrift_wire::body::{Part, Walk};
 use ivydrift_wire::http::{self, Framing, Response};
 
@@ -146,13 +146,13 @@
 }
 
 impl Pick<'_> {
-    /// Sends the RPC and reads its answer. The answer is present whenever [`Saw::Answer`] is returned.
+    /// Sends the RPC and reads its answer. The answer is present whenever [`Observation::Answer`] is returned.
     pub fn run(
         &self, rpc: &OutgoingRequest, handle: &dyn PickHandle, caller: &mut dyn Caller,
-    ) -> (Saw, Option<Answer>) {
+    ) -> (Observation, Option<Answer>) {
         let (deadline, began) = (self.deadline, Instant::now());
         if began >= deadline {
-            return (Saw::NotBegun, None);
+            return (Observation::NotAttempted, None);
         }
         let mut socket = match self.pool.take(self.node, self.careful, began) {
             Some(socket) => socket,
@@ -163,32 +163,32 @@
                     if e.raw_os_error().is_some_and(out_of_descriptors) {
                         self.pool.close_expired(true);
                     }
-                    return (Saw::NotSent, None);
+                    return (Observation::NotSent, None);
                 }
             },
         };
         if !handle.attach(socket.look()) {
-            return (Saw::NotBegun, None);
+            return (Observation::NotAttempted, None);
         }
         let write_began = Instant::now();
         let left = deadline.saturating_duration_since(write_began);
         if left.is_zero() {
-            return (Saw::NotSent, None);
+            return (Observation::NotSent, None);
         }
         let bytes = rpc.bytes(self.dialect, self.node, left);
         if !self.admission.admit() {
-            return (Saw::NotBegun, None);
+            return (Observation::NotAttempted, None);
         }
         let written = socket.write(&bytes, deadline);
         self.admission.sent(write_began);
         if let Err((bytes_written, e)) = written {
             // The kernel accepted no byte, so no node can have seen any of the RPC.
-            let saw = match e.kind() {
-                _ if bytes_written == 0 || self.dialect.runs_only_complete() => Saw::NotSent,
-                ErrorKind::TimedOut => Saw::TimedOut,
-                _ => Saw::Broken,
+            let observation = match e.kind() {
+                _ if bytes_written == 0 || self.dialect.runs_only_complete() => Observation::NotSent,
+                ErrorKind::TimedOut => Observation::TimedOut,
+                _ => Observation::Broken,
             };
-            return (saw, None);
+            return (observation, None);
         }
         let upload = match rpc.rest_framing {
             Some(_) => upload(&socket, rpc.is_chunked(), caller, deadline),
@@ -196,8 +196,8 @@
         };
         match upload {
             Upload::Complete | Upload::EarlyAnswer => {}
-            Upload::TimedOut => return (Saw::TimedOut, None),
-            Upload::Failed => return (Saw::Severed, None),
+            Upload::TimedOut => return (Observation::TimedOut, None),
+            Upload::Failed => return (Observation::Cancelled, None),
         }
         let mut reader = Reader {
             socket: &mut socket,
@@ -206,10 +206,10 @@
             deadline,
             streaming: false,
         };
-        let (saw, answer) = reader.answer(&rpc.verb, caller);
-        let complete = matches!(saw, Saw::Answer { .. });
+        let (observation, answer) = reader.answer(&rpc.verb, caller);
+        let complete = matches!(observation, Observation::Answer { .. });
         if handle.is_cancelled() && !complete {
-            return (Saw::Severed, None);
+            return (Observation::Cancelled, None);
         }
         // Bytes after the answer belong to no request: the node answered twice or sent a wrong length.
         let unread = reader.buf;
@@ -217,7 +217,7 @@
         if complete && clean && answer.as_ref().is_some_and(|a| a.head.keep_alive) {
             self.pool.put(self.node, socket, began, Instant::now());
         }
-        (saw, answer)
+        (observation, answer)
     }
 }
 
@@ -272,7 +272,7 @@
 
 /// Why an answer is incomplete.
 enum Incomplete {
-    Saw(Saw),
+    Observation(Observation),
     /// The client no longer wants the answer.
     Unwanted,
 }
@@ -293,9 +293,9 @@
                 Ok(true)
             }
             Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
-                Err(Incomplete::Saw(Saw::TimedOut))
+                Err(Incomplete::Observation(Observation::TimedOut))
             }
-            Err(_) => Err(Incomplete::Saw(Saw::Broken)),
+            Err(_) => Err(Incomplete::Observation(Observation::Broken)),
         }
     }
 
@@ -310,8 +310,8 @@
                         break head;
                     }
                     Ok(None) if self.read_more()? => {}
-                    Ok(None) => return Err(Incomplete::Saw(Saw::Broken)),
-                    Err(_) => return Err(Incomplete::Saw(Saw::Garbled)),
+                    Ok(None) => return Err(Incomplete::Observation(Observation::Broken)),
+                    Err(_) => return Err(Incomplete::Observation(Observation::Malformed)),
                 }
             };
             if head.status == 101 {
@@ -321,26 +321,26 @@
                 return Ok(head);
             }
         }
-        Err(Incomplete::Saw(Saw::Garbled))
+        Err(Incomplete::Observation(Observation::Malformed))
     }
 
     /// Reads the whole answer. A long successful one is streamed to the client.
-    fn answer(&mut self, verb: &str, caller: &mut dyn Caller) -> (Saw, Option<Answer>) {
+    fn answer(&mut self, verb: &str, caller: &mut dyn Caller) -> (Observation, Option<Answer>) {
         let head = match self.head(verb == "HEAD") {
             Ok(head) => head,
-            Err(Incomplete::Saw(saw)) => return (saw, None),
-            Err(Incomplete::Unwanted) => return (Saw::Severed, None),
+            Err(Incomplete::Observation(observation)) => return (observation, None),
+            Err(Incomplete::Unwanted) => return (Observation::Cancelled, None),
         };
         if self.dialect.is_invalid_framing(head.framing) {
-            return (Saw::Garbled, None);
+            return (Observation::Malformed, None);
         }
         let (status, never_ran, load) = self.dialect.interpret_response(&head);
-        let saw = Saw::Answer { status, never_ran, load };
+        let observation = Observation::Answer { status, never_ran, load };
         let mut answer = Answer { head, body: Vec::new(), streamed: false };
-        match self.body(&mut answer, saw.outcome(), caller) {
-            Ok(()) => (saw, Some(answer)),
-            Err(Incomplete::Saw(saw)) => (saw, None),
-            Err(Incomplete::Unwanted) => (Saw::Severed, None),
+        match self.body(&mut answer, observation.outcome(), caller) {
+            Ok(()) => (observation, Some(answer)),
+            Err(Incomplete::Observation(observation)) => (observation, None),
+            Err(Incomplete::Unwanted) => (Observation::Cancelled, None),
         }
     }
 
@@ -361,7 +361,7 @@
                     answer.body.extend_from_slice(&data);
                     if let Some(max_bytes) = self.dialect.max_answer_bytes() {
                         if answer.body.len() > max_bytes {
-                            return Err(Incomplete::Saw(Saw::Garbled));
+                            return Err(Incomplete::Observation(Observation::Malformed));
                         }
                     } else if answer.body.len() > MAX_BUFFERED_ANSWER && !walk.ended() {
                         if outcome != ivydrift_marshal::Outcome::Ok {
@@ -387,10 +387,10 @@
                         if walk.closed() {
                             break;
                         }
-                        return Err(Incomplete::Saw(Saw::Broken));
+                        return Err(Incomplete::Observation(Observation::Broken));
                     }
                 }
-                Err(_) => return Err(Incomplete::Saw(Saw::Garbled)),
+                Err(_) => return Err(Incomplete::Observation(Observation::Malformed)),
             }
         }
         if answer.streamed && chunked && !caller.send_part(b"0\r\n\r\n") {
--- a/crates/edge/src/guard.rs
+++ b/crates/edge/src/guard.rs
@@ -90,14 +90,14 @@
             Withheld::StaleList => &edge.guard.withheld_stale,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        tracing::debug!(id = self.id, node = %self.node, why = why.word(), "attempt withheld");
+        tracing::debug!(id = self.id, node = %self.node, why = why.as_str(), "attempt withheld");
         false
     }
 
     fn sent(&self, write_began: Instant) {
         let (edge, guard) = (self.edge, &self.edge.guard);
         let at = edge.now().saturating_sub(write_began.elapsed());
-        let lateness = edge.core.lock().unwrap().late_send(at, self.id, self.node);
+        let lateness = edge.core.lock().unwrap().drain_violation(at, self.id, self.node);
         if let Some(lateness) = lateness {
             guard.sent_to_withdrawn.fetch_add(1, Ordering::Relaxed);
             let late_ms = lateness.as_millis() as u64;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,6 +1,6 @@
 //! The marshal on real sockets: a thin shell around [`ivydrift_marshal::Core`], on `may` coroutines.
 //!
-//! Each client connection is one coroutine, which also runs the picks of its RPC; orders that concern another
+//! Each client connection is one coroutine, which also runs the picks of its RPC; commands that concern another
 //! connection's RPC are posted to that connection. The core is behind one lock, held for a few microseconds
 //! and never across a wait. Discovery, rollout controller, peers and timers have a coroutine each.
 #![forbid(unsafe_code)]
@@ -29,7 +29,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ivydrift_marshal::{Counts, Hold, Id, Input, Order, Repeat, Said, Saw, Services, HOME};
+use ivydrift_marshal::{
+    Command, Counts, Id, Input, InstanceId, Observation, Output, Repeat, Services, PRIMARY,
+};
 use ivydrift_sockets::{Listener, Waker};
 use ivydrift_terms::{Bounds, Names, Places, Terms};
 use ivydrift_wire::peer;
@@ -64,7 +66,7 @@
     dialect: Dialect,
     core: Mutex<Services>,
     /// `places.service`, and the services held in addition to it.
-    home: Arc<services::HeldService>,
+    primary: Arc<services::HeldService>,
     held_services: services::HeldServices,
     /// The clients with an RPC in progress.
     in_progress: Mutex<HashMap<Id, Arc<Client>>>,
@@ -174,7 +176,7 @@
 
     /// Whether the node list of `places.service` is fresh enough to send new work by.
     fn list_is_fresh(&self) -> bool {
-        self.core.lock().unwrap().list_holds(self.now())
+        self.core.lock().unwrap().list_is_valid(self.now())
     }
 
     fn stopping(&self) -> bool {
@@ -190,8 +192,8 @@
             || (!last_stall.is_zero() && now < last_stall + Duration::from_secs(5))
     }
 
-    /// Registers an RPC as in progress and returns the core's first orders for it.
-    fn begin_rpc(self: &Arc<Self>, id: Id, client: &Arc<Client>, input: Input) -> Vec<Order> {
+    /// Registers an RPC as in progress and returns the core's first commands for it.
+    fn begin_rpc(self: &Arc<Self>, id: Id, client: &Arc<Client>, input: Input) -> Vec<Command> {
         self.in_progress.lock().unwrap().insert(id, client.clone());
         let mut clients = self.clients.lock().unwrap();
         if self.over_limits(clients.len()) {
@@ -205,73 +207,73 @@
         self.in_progress.lock().unwrap().remove(&id);
     }
 
-    /// Passes an event to the core. Returns the orders for RPC `own`; all others are carried out or posted.
-    fn dispatch(self: &Arc<Self>, input: Input, own: Id) -> Vec<Order> {
-        self.dispatch_for(HOME, input, own)
+    /// Passes an event to the core. Returns the commands for RPC `own`; all others are carried out or posted.
+    fn dispatch(self: &Arc<Self>, input: Input, own: Id) -> Vec<Command> {
+        self.dispatch_for(PRIMARY, input, own)
     }
 
-    /// Like `dispatch`, for an event from the node list or the rollout controller of service `of`.
-    fn dispatch_for(self: &Arc<Self>, of: Hold, input: Input, own: Id) -> Vec<Order> {
-        let outputs = self.core.lock().unwrap().handle(self.now(), of, input);
-        let mut own_orders = Vec::new();
+    /// Like `dispatch`, for an event from the node list or the rollout controller of service `instance`.
+    fn dispatch_for(self: &Arc<Self>, instance: InstanceId, input: Input, own: Id) -> Vec<Command> {
+        let outputs = self.core.lock().unwrap().handle(self.now(), instance, input);
+        let mut own_commands = Vec::new();
         for output in outputs {
-            let (of, order) = match output {
-                Said::Order { of, order } => (of, order),
-                Said::Follow { of, service } => {
-                    self.hold_service(of, service);
+            let (instance, command) = match output {
+                Output::Command { instance, command } => (instance, command),
+                Output::HoldService { instance, service } => {
+                    self.hold_service(instance, service);
                     continue;
                 }
-                Said::Leave { of, service, why } => {
-                    self.drop_service(of, &service, why);
+                Output::DropService { instance, service, why } => {
+                    self.drop_service(instance, &service, why);
                     continue;
                 }
             };
-            match order {
-                Order::Sever { id, .. } => self.post(id, order),
-                Order::Pick { id, .. }
-                | Order::Pass { id, .. }
-                | Order::PushBack { id, .. }
-                | Order::Abort { id, .. }
-                | Order::Reject { id, .. }
-                | Order::BreakOff { id } => {
+            match command {
+                Command::Sever { id, .. } => self.post(id, command),
+                Command::Pick { id, .. }
+                | Command::Pass { id, .. }
+                | Command::PushBack { id, .. }
+                | Command::Abort { id, .. }
+                | Command::Reject { id, .. }
+                | Command::BreakOff { id } => {
                     if id == own {
-                        own_orders.push(order);
+                        own_commands.push(command);
                     } else {
-                        self.post(id, order);
+                        self.post(id, command);
                     }
                 }
-                Order::CloseIdle { node } => self.pool.close_node(node),
-                Order::Tell { to, datagram } => {
+                Command::CloseIdle { node } => self.pool.close_node(node),
+                Command::Tell { to, datagram } => {
                     if let (Some(socket), Some(addr)) = (&self.peers, self.settings().places.peers.get(to)) {
                         // Losing a datagram does no harm; waiting would.
                         let _ = socket.inner().send_to(&datagram, addr);
                     }
                 }
-                Order::Vote(vote) => {
-                    self.held_service(of).iter().for_each(|held| watch::cast_vote(self, held, vote))
+                Command::Vote(vote) => {
+                    self.held_service(instance).iter().for_each(|held| watch::cast_vote(self, held, vote))
                 }
-                Order::FollowMembership => {
-                    self.held_service(of).iter().for_each(|held| watch::watch_node_list(self, held))
+                Command::FollowMembership => {
+                    self.held_service(instance).iter().for_each(|held| watch::watch_node_list(self, held))
                 }
-                Order::Log(line) => tracing::info!("{line}"),
+                Command::Log(line) => tracing::info!("{line}"),
             }
         }
-        own_orders
+        own_commands
     }
 
-    /// Sends an order to the connection that serves this RPC.
-    fn post(self: &Arc<Self>, id: Id, order: Order) {
+    /// Sends a command to the connection that serves this RPC.
+    fn post(self: &Arc<Self>, id: Id, command: Command) {
         let client = self.in_progress.lock().unwrap().get(&id).cloned();
-        if !client.is_some_and(|client| client.post(&order)) {
-            self.discard_order(&order);
+        if !client.is_some_and(|client| client.post(&command)) {
+            self.discard_command(&command);
         }
     }
 
-    /// Handles an order that will not be carried out. The core counts a pick as in flight until it is told of
+    /// Handles a command that will not be carried out. The core counts a pick as in flight until it is told of
     /// its end.
-    fn discard_order(self: &Arc<Self>, order: &Order) {
-        if let Order::Pick { id, pick, .. } = *order {
-            self.dispatch(Input::Ended { id, pick, saw: Saw::NotBegun }, 0);
+    fn discard_command(self: &Arc<Self>, command: &Command) {
+        if let Command::Pick { id, pick, .. } = *command {
+            self.dispatch(Input::PickEnded { id, pick, observation: Observation::NotAttempted }, 0);
         }
     }
 
@@ -354,7 +356,7 @@
     /// timestamps from elsewhere.
     fn read_wall_clock(&self) {
         let zero_ms = unix_zero_ms(self.now());
-        self.core.lock().unwrap().read_wall_clock(zero_ms);
+        self.core.lock().unwrap().set_wall_clock(zero_ms);
     }
 
     /// Logs the rejected entries of a service's node list when they change.
@@ -404,7 +406,7 @@
     /// Number of services held in addition to `places.service`, and an estimate of their memory in bytes.
     fn service_stats(&self) -> (usize, usize) {
         let core = self.core.lock().unwrap();
-        (core.held().count(), core.bytes())
+        (core.instances().count(), core.bytes())
     }
 
     /// The core's counts since the start.
@@ -443,7 +445,7 @@
     };
     let mut core = Services::new(terms.clone(), unix_zero_ms(CLOCK_OFFSET));
     if peers.is_some() {
-        core.run_by(executable::identity());
+        core.set_program(executable::identity());
     }
     let edge = Arc::new(Edge {
         dialect,
@@ -467,7 +469,7 @@
         closing: AtomicBool::new(false),
         last_stall_ms: AtomicU64::new(0),
         last_tick_ms: AtomicU64::new(0),
-        home: services::HeldService::new(HOME, None),
+        primary: services::HeldService::new(PRIMARY, None),
         held_services: services::HeldServices::default(),
         core: Mutex::new(core),
     });
@@ -479,7 +481,7 @@
 fn run(edge: &Arc<Edge>, listener: Listener) -> (SocketAddr, Waker) {
     let waker = listener.waker();
     let listens = listener.local_addr().unwrap_or_else(|_| edge.settings().places.listen);
-    watch::watch_controller(edge, &edge.home);
+    watch::watch_controller(edge, &edge.primary);
     start_timers(edge);
     start_peer_receiver(edge);
     let accepting = edge.clone();
@@ -504,7 +506,7 @@
 /// Sends the core a tick whenever one is due, and detects stalls. Never returns.
 fn run_ticks(ticking: &Arc<Edge>) {
     loop {
-        let due = ticking.core.lock().unwrap().due();
+        let due = ticking.core.lock().unwrap().next_tick();
         let wait = due.saturating_sub(ticking.now()).min(Duration::from_millis(20));
         pause(wait.max(Duration::from_micros(500)));
         // Measured from the last round, not the last pause: a stall may begin anywhere in a round.
@@ -570,7 +572,7 @@
                 let first = message.filter(|r| r.0 == peer::Kind::Question).and_then(|r| peer::asked(r.2));
                 match first {
                     Some(first) => edge.answer_peer_query(socket, from, first),
-                    None => drop(edge.dispatch(Input::Peer(&datagram[..n]), 0)),
+                    None => drop(edge.dispatch(Input::PeerDatagram(&datagram[..n]), 0)),
                 }
             }
             Err(_) => pause(Duration::from_millis(5)),
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -83,7 +83,7 @@
                 Some(AfterFailure::Retry) => {}
                 Some(AfterFailure::GiveUp) => {
                     drop(claim);
-                    edge.dispatch(Input::MembershipLost, 0);
+                    edge.dispatch(Input::NodeListLost, 0);
                     return;
                 }
             }
@@ -113,7 +113,7 @@
         Some(match applied {
             Ok(()) => {
                 (self.continues_watch, self.retried) = (true, false);
-                edge.log_rejected_nodes(&edge.home);
+                edge.log_rejected_nodes(&edge.primary);
                 pause(MIN_CALL_INTERVAL.saturating_sub(call.started.elapsed()));
                 AfterFailure::Retry
             }
@@ -145,7 +145,7 @@
         let nodes = catalog.listed();
         drop(catalog);
         self.edge.read_wall_clock();
-        self.edge.dispatch(Input::Membership(&nodes), 0);
+        self.edge.dispatch(Input::NodeList(&nodes), 0);
         Ok(())
     }
 
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -100,7 +100,7 @@
                 let passed_on = edge.if_addresses_unchanged(address_generation, || {
                     news_from_line(platform, line)
                         .iter()
-                        .for_each(|news| drop(edge.dispatch(Input::News(news), 0)));
+                        .for_each(|news| drop(edge.dispatch(Input::RolloutUpdate(news), 0)));
                 });
                 if passed_on.is_none() {
                     return Ok(());
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -52,10 +52,10 @@
     // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = start.news {
         let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
-        edge.dispatch(Input::News(&news), 0);
+        edge.dispatch(Input::RolloutUpdate(&news), 0);
     }
     if !known_nodes.is_empty() {
-        edge.dispatch(Input::Known(&known_nodes), 0);
+        edge.dispatch(Input::CachedNodeList(&known_nodes), 0);
     }
     Ok(Running::begin(edge, listener))
 }
@@ -91,7 +91,7 @@
 
     fn reload(&self, terms: Terms, known_nodes: Option<&Catalog>) -> Result<(), String> {
         let (edge, new, limits) = (&self.edge, Settings::of(&terms), terms.rollout.limits);
-        edge.core.lock().unwrap().renew(terms)?;
+        edge.core.lock().unwrap().reconfigure(terms)?;
         edge.pool.set_limits(&new.bounds, limits.idle_timeout);
         // An RPC accepted under the earlier config may need its longer deadline.
         let old = edge.settings();
@@ -128,7 +128,7 @@
     /// if nothing was left unfinished.
     pub fn stop(&self) -> bool {
         self.edge.shutdown_begun.store(true, Ordering::Release);
-        self.edge.dispatch(Input::Leaving, 0);
+        self.edge.dispatch(Input::ShuttingDown, 0);
         // Clients that still connect are served and told to close.
         std::thread::sleep(self.edge.bounds().linger);
         self.edge.closing.store(true, Ordering::Release);
--- a/crates/edge/src/services.rs
+++ b/crates/edge/src/services.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ivydrift_marshal::{Dropped, Hold, Rejected, HOME};
+use ivydrift_marshal::{DropReason, InstanceId, Rejected, PRIMARY};
 
 use crate::query::QueryHandle;
 use crate::{watch, Edge};
@@ -14,7 +14,7 @@
 /// A held service as the shell sees it.
 pub struct HeldService {
     /// The core's id for the service.
-    pub service_id: Hold,
+    pub service_id: InstanceId,
     /// `None` for `places.service`, whatever its name in the config.
     pub service: Option<Arc<str>>,
     /// The coroutine that watches the node list.
@@ -31,7 +31,7 @@
 
 impl HeldService {
     /// A held service that nothing watches yet.
-    pub fn new(service_id: Hold, service: Option<Arc<str>>) -> Arc<HeldService> {
+    pub fn new(service_id: InstanceId, service: Option<Arc<str>>) -> Arc<HeldService> {
         Arc::new(HeldService {
             service_id,
             service,
@@ -115,7 +115,7 @@
 
 /// The services held in addition to `places.service`.
 #[derive(Default)]
-pub struct HeldServices(Mutex<HashMap<Hold, Arc<HeldService>>>);
+pub struct HeldServices(Mutex<HashMap<InstanceId, Arc<HeldService>>>);
 
 impl HeldServices {
     fn all(&self) -> Vec<Arc<HeldService>> {
@@ -124,34 +124,34 @@
 }
 
 impl Edge {
-    /// The service that an order concerns, or `None` if it is no longer held.
-    pub fn held_service(&self, id: Hold) -> Option<Arc<HeldService>> {
-        if id == HOME {
-            return Some(self.home.clone());
+    /// The service that a command concerns, or `None` if it is no longer held.
+    pub fn held_service(&self, id: InstanceId) -> Option<Arc<HeldService>> {
+        if id == PRIMARY {
+            return Some(self.primary.clone());
         }
         self.held_services.0.lock().unwrap().get(&id).cloned()
     }
 
     /// Begins to hold a service, and watches its rollout controller.
-    pub fn hold_service(self: &Arc<Self>, id: Hold, service: Arc<str>) {
+    pub fn hold_service(self: &Arc<Self>, id: InstanceId, service: Arc<str>) {
         let held = HeldService::new(id, Some(service.clone()));
         self.held_services.0.lock().unwrap().insert(id, held.clone());
         tracing::info!(service = &*service, "service begun");
         watch::watch_controller(self, &held);
-        // Orders are carried out outside the core's lock, so the order to drop the service may have been
+        // Commands are carried out outside the core's lock, so the command to drop the service may have been
         // handled first.
-        if !self.core.lock().unwrap().holds(id) {
+        if !self.core.lock().unwrap().is_held(id) {
             self.release_service(id);
         }
     }
 
     /// Drops a service that is no longer needed.
-    pub fn drop_service(&self, id: Hold, service: &str, why: Dropped) {
-        tracing::info!(service, why = why.word(), "service dropped");
+    pub fn drop_service(&self, id: InstanceId, service: &str, why: DropReason) {
+        tracing::info!(service, why = why.as_str(), "service dropped");
         self.release_service(id);
     }
 
-    fn release_service(&self, id: Hold) {
+    fn release_service(&self, id: InstanceId) {
         let Some(held) = self.held_services.0.lock().unwrap().remove(&id) else { return };
         held.dropped.store(true, Ordering::Release);
         // Otherwise each watch would keep waiting for an answer about a service that is no longer needed.
@@ -162,7 +162,7 @@
 
     /// Watches node lists and rollout controller at their new addresses after a move.
     pub fn rewatch_all(self: &Arc<Self>) {
-        for held in std::iter::once(self.home.clone()).chain(self.held_services.all()) {
+        for held in std::iter::once(self.primary.clone()).chain(self.held_services.all()) {
             watch::watch_controller(self, &held);
             watch::watch_node_list(self, &held);
         }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -37,7 +37,7 @@
         };
         tracing::warn!(why, service = held.service.as_deref(), "node list lost");
         drop(claim);
-        edge.dispatch_for(held.service_id, Input::MembershipLost, 0);
+        edge.dispatch_for(held.service_id, Input::NodeListLost, 0);
     });
 }
 
@@ -62,7 +62,7 @@
         let passed_on = edge.if_addresses_unchanged(address_generation, || {
             let Ok((_, nodes)) = &parsed else { return };
             edge.read_wall_clock();
-            edge.dispatch_for(held.service_id, Input::Membership(nodes), 0);
+            edge.dispatch_for(held.service_id, Input::NodeList(nodes), 0);
             let event = DiscoverySignal::Confirmed { as_of: edge.now(), next_within: hold + QUERY_SLACK };
             edge.dispatch_for(held.service_id, Input::Discovery(event), 0);
         });
@@ -85,7 +85,7 @@
 /// Watches the rollout controller until it moves.
 #[cfg(test)]
 pub fn watch_home_controller(edge: &Arc<Edge>) {
-    watch_controller(edge, &edge.home);
+    watch_controller(edge, &edge.primary);
 }
 
 /// Watches the rollout controller for one service until the controller moves or the service is no longer
@@ -107,7 +107,9 @@
             let answer = client.send("GET", &path, b"", desk::NEWS_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
             let parsed = answer.map_err(|e| e.to_string()).and_then(|reply| desk::read_news(&reply.body));
             let passed_on = edge.if_addresses_unchanged(address_generation, || {
-                parsed.iter().for_each(|news| drop(edge.dispatch_for(held.service_id, Input::News(news), 0)));
+                parsed
+                    .iter()
+                    .for_each(|news| drop(edge.dispatch_for(held.service_id, Input::RolloutUpdate(news), 0)));
             });
             if passed_on.is_none() || held.is_dropped() {
                 return; // The controller is watched at its new address, or the service is no longer held.
@@ -142,7 +144,7 @@
 /// counts.
 #[cfg(test)]
 pub fn cast_home_vote(edge: &Arc<Edge>, vote: desk::Vote) {
-    cast_vote(edge, &edge.home, vote);
+    cast_vote(edge, &edge.primary, vote);
 }
 
 /// Casts a vote on one service.
@@ -168,14 +170,14 @@
                 votes.waiting.take()
             };
             let Some(later) = next else {
-                edge.dispatch_for(held.service_id, Input::Voted(ballot), 0);
+                edge.dispatch_for(held.service_id, Input::VoteAnswered(ballot), 0);
                 return;
             };
             // The core waits for the answer to a later vote, but what this answer says about the build is
             // still valid.
             if let Ballot::Answered(answer) = ballot {
                 let news = desk::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
-                edge.dispatch_for(held.service_id, Input::News(&news), 0);
+                edge.dispatch_for(held.service_id, Input::RolloutUpdate(&news), 0);
             }
             vote = later;
         }
--- a/crates/marshal/src/config_update.rs
+++ b/crates/marshal/src/config_update.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// Names the setting that cannot change without a restart; then nothing has changed.
-    pub fn renew(&mut self, mut new: Terms) -> Result<(), String> {
+    pub fn reconfigure(&mut self, mut new: Terms) -> Result<(), String> {
         let (current, restart_needed) =
             (&self.terms, "it is fixed while a marshal runs: start another marshal with the new value");
         if new.rollout.marshal != current.rollout.marshal {
@@ -99,7 +99,7 @@
             kinds,
         };
         self.method_enabled = method_enabled;
-        self.directory.renew(&self.terms);
+        self.directory.reconfigure(&self.terms);
         self.policy.reconfigure(&self.terms.rollout);
         if let Some(peers) = &mut self.peers {
             peers.resize(&self.terms);
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -89,12 +89,12 @@
     }
 
     /// Takes a new config. Known zones and kinds keep their indices.
-    pub fn renew(&mut self, terms: &Terms) {
+    pub fn reconfigure(&mut self, terms: &Terms) {
         (self.zones, self.kinds, self.reuse_delay) =
             (terms.zones.clone(), terms.kinds.clone(), reuse_delay(terms));
         self.config_changed = true;
         match (&mut self.subset, Subset::new(terms)) {
-            (Some(subset), Some(new)) => subset.renew(new),
+            (Some(subset), Some(new)) => subset.reconfigure(new),
             (subset, new) => *subset = new,
         }
     }
--- a/crates/marshal/src/directory/subset.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes a new config. The RPC rate is kept; the dead marshals are read again at the next refresh.
-    pub fn renew(&mut self, new: Subset) {
+    pub fn reconfigure(&mut self, new: Subset) {
         let (last_refresh, rpcs_seen, rate, delayed) =
             (self.last_refresh, self.rpcs_seen, self.rate, std::mem::take(&mut self.delayed));
         *self = Subset { last_refresh, rpcs_seen, rate, delayed, ..new };
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -1,6 +1,6 @@
 //! The core of a marshal, between its sockets and the policy (the decision module). It keeps the table of
 //! RPCs and picks, maps addresses and names to small indices, passes events to the policy and turns the
-//! policy's actions into [`Order`]s. It has no socket, clock or thread: `Core::handle(now, input) -> orders`.
+//! policy's actions into [`Command`]s. It has no socket, clock or thread: `Core::handle(now, input) -> commands`.
 //!
 //! It makes none of the policy's decisions. Four rules are enforced here because they follow from facts and
 //! leave no choice: which [`Outcome`] an observation on the socket proves; that an RPC gets exactly one final
@@ -30,11 +30,11 @@
 use directory::Directory;
 pub use directory::Rejected;
 pub use ivydrift_policy::port::{DiscoverySignal, Outcome, Repeat};
-pub use messages::{Ballot, Call, Counts, Id, Input, Order, Saw, Why};
+pub use messages::{Ballot, Call, Command, Counts, FailureReason, Id, Input, Observation};
 use peers::Peers;
 use rpcs::Rpcs;
 pub use send_check::Withheld;
-pub use services::{Dropped, Hold, Said, ServiceState, Services, HOME};
+pub use services::{DropReason, InstanceId, Output, ServiceState, Services, PRIMARY};
 use wall_clock::WallClock;
 
 /// State of one service: RPC table, node list, timers and the policy. All times are offsets from the I/O
@@ -47,7 +47,7 @@
     timers: BTreeSet<(Duration, u64)>,
     counts: Counts,
     /// Unix time of the I/O layer's zero in milliseconds, as read at the start.
-    zero_ms: u64,
+    epoch_ms: u64,
     wall_clock: WallClock,
     pending_nodes: Option<PendingNodes>,
     controller_heard: bool,
@@ -80,17 +80,17 @@
 const POLICY_GRACE: Duration = Duration::from_millis(5);
 
 impl Core {
-    /// `zero_ms` is the Unix time of the I/O layer's zero in milliseconds. Zero must lie well before the
+    /// `epoch_ms` is the Unix time of the I/O layer's zero in milliseconds. Zero must lie well before the
     /// start, so that nodes started earlier have a representable age.
-    pub fn new(terms: Terms, zero_ms: u64) -> Self {
+    pub fn new(terms: Terms, epoch_ms: u64) -> Self {
         Core {
             policy: Marshal::new(&terms.rollout),
             directory: Directory::new(&terms),
             rpcs: Rpcs::default(),
             timers: BTreeSet::new(),
             counts: Counts::default(),
-            zero_ms,
-            wall_clock: WallClock::new(zero_ms),
+            epoch_ms,
+            wall_clock: WallClock::new(epoch_ms),
             pending_nodes: None,
             controller_heard: false,
             rollout_status: rollout::RolloutStatus::default(),
@@ -105,12 +105,12 @@
 
     /// Updates the Unix time of the I/O layer's zero (milliseconds) from the current wall clock, which may
     /// have stepped.
-    pub fn read_wall_clock(&mut self, zero_ms: u64) {
-        self.wall_clock.record(zero_ms);
+    pub fn set_wall_clock(&mut self, epoch_ms: u64) {
+        self.wall_clock.record(epoch_ms);
     }
 
     /// Sets the program name announced to the other marshals. Call it before the first [`Core::handle`].
-    pub fn run_by(&mut self, program: String) {
+    pub fn set_program(&mut self, program: String) {
         self.program = program;
     }
 
@@ -148,68 +148,73 @@
     }
 
     /// When [`Input::Tick`] is due next.
-    pub fn due(&self) -> Duration {
+    pub fn next_tick(&self) -> Duration {
         let wake = self.timers.first().map(|timer| timer.0);
         let overdue = self.rpcs.first_overdue();
         let pending_nodes = self.pending_nodes.as_ref().map(|pending| pending.since + CONTROLLER_TIMEOUT);
-        let peers = self.peers.as_ref().map(Peers::due);
+        let peers = self.peers.as_ref().map(Peers::next_tick);
         wake.into_iter().chain(overdue).chain(pending_nodes).chain(peers).min().unwrap_or(Duration::ZERO)
     }
 
     /// Processes one input and returns the commands to carry out, in order.
-    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Command> {
+        let mut commands = Vec::new();
         let mut events = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
-            // Zero lies at a fixed span before each start, so a later start has a larger `zero_ms`.
-            self.peers = Peers::new(&self.terms, &self.program, self.zero_ms, now);
+            // Zero lies at a fixed span before each start, so a later start has a larger `epoch_ms`.
+            self.peers = Peers::new(&self.terms, &self.program, self.epoch_ms, now);
         }
-        self.dispatch(now, input, &mut events, &mut orders);
+        self.dispatch(now, input, &mut events, &mut commands);
         // The policy must be called once before any event, to set its timers.
-        while self.run_policy(now, std::mem::take(&mut events), &mut events, &mut orders) {}
-        orders
+        while self.run_policy(now, std::mem::take(&mut events), &mut events, &mut commands) {}
+        commands
     }
 
-    fn dispatch(&mut self, now: Duration, input: Input, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
+    fn dispatch(
+        &mut self, now: Duration, input: Input, events: &mut Vec<Event>, commands: &mut Vec<Command>,
+    ) {
         match input {
-            Input::Rpc { id, call } => self.accept_rpc(now, id, call, events, orders),
-            Input::Began { id, pick } => {
+            Input::Rpc { id, call } => self.accept_rpc(now, id, call, events, commands),
+            Input::AnswerBegan { id, pick } => {
                 if let Some((rpc, sent)) = self.rpcs.begin_stream(id, pick) {
                     let (node, took) = (sent.node, now.saturating_sub(sent.at));
                     events.push(Event::StreamBegun { rpc, pick, node, took });
                     self.counts.ok += 1;
-                    orders.push(Order::Pass { id, pick, picks: sent.picks, build: sent.build });
+                    commands.push(Command::Pass { id, pick, picks: sent.picks, build: sent.build });
                 }
             }
-            Input::Ended { id, pick, saw } => self.end_pick(now, id, pick, saw, events, orders),
-            Input::Drawn { id, pick, waited } => self.rpcs.consume_body(id, pick, waited),
+            Input::PickEnded { id, pick, observation } => {
+                self.end_pick(now, id, pick, observation, events, commands)
+            }
+            Input::BodyConsumed { id, pick, waited } => self.rpcs.consume_body(id, pick, waited),
             Input::ClientLeft { id } => {
                 let Some(disconnected) = self.rpcs.disconnect(id) else { return };
                 self.counts.left += 1;
                 events.push(Event::ClientLeft { rpc: disconnected.rpc });
                 if self.terms.rollout.limits.cancel {
-                    orders.extend(disconnected.in_flight.into_iter().map(|pick| Order::Sever { id, pick }));
+                    commands
+                        .extend(disconnected.in_flight.into_iter().map(|pick| Command::Sever { id, pick }));
                 }
             }
-            Input::Membership(nodes) => {
+            Input::NodeList(nodes) => {
                 let node_events = self.directory.apply_list(now, &self.wall_clock, nodes);
-                self.apply_node_events(now, node_events, events, orders);
+                self.apply_node_events(now, node_events, events, commands);
             }
-            Input::Known(nodes) => {
+            Input::CachedNodeList(nodes) => {
                 self.directory.apply_list(now, &self.wall_clock, nodes);
                 self.load_saved_nodes(now, events);
             }
-            Input::MembershipLost => events.push(Event::Nodes { update: ListUpdate::Failed, nodes: vec![] }),
+            Input::NodeListLost => events.push(Event::Nodes { update: ListUpdate::Failed, nodes: vec![] }),
             Input::Discovery(sign) => events.push(Event::Discovery(sign)),
-            Input::News(news) => {
+            Input::RolloutUpdate(news) => {
                 self.apply_rollout_update(now, news, events);
                 if news.stage.is_some() {
                     self.controller_heard = true;
                     events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                 }
             }
-            Input::Voted(ballot) => events.extend(self.vote_event(now, ballot)),
-            Input::Peer(datagram) => {
+            Input::VoteAnswered(ballot) => events.extend(self.vote_event(now, ballot)),
+            Input::PeerDatagram(datagram) => {
                 let terms = &self.terms.rollout;
                 let other = |from| from < terms.marshals && from != terms.marshal;
                 let message = peer::read(datagram).filter(|(_, from, _)| other(usize::from(*from)));
@@ -218,13 +223,13 @@
                         events.push(Event::Peer { from: from.into(), payload: text.to_vec() });
                     }
                     (Some((peer::Kind::Members, from, bytes)), Some(peers)) => {
-                        orders.extend(peers.receive(now, from, bytes));
+                        commands.extend(peers.receive(now, from, bytes));
                     }
                     _ => {}
                 }
             }
-            Input::Leaving => {
-                orders.extend(self.peers.as_mut().into_iter().flat_map(|p| p.leave(now)));
+            Input::ShuttingDown => {
+                commands.extend(self.peers.as_mut().into_iter().flat_map(|p| p.leave(now)));
             }
             Input::Tick => {
                 if self
@@ -238,7 +243,7 @@
                     events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                     self.controller_heard = true;
                     let line = "no message from the rollout controller; treating the oldest listed build as released";
-                    orders.push(Order::Log(line.to_owned()));
+                    commands.push(Command::Log(line.to_owned()));
                 }
                 while let Some(&(at, tag)) = self.timers.first().filter(|timer| timer.0 <= now) {
                     self.timers.remove(&(at, tag));
@@ -247,13 +252,13 @@
                 let (peers, known_dead) = (&self.peers, &self.dead_marshals);
                 let dead = || long_dead(peers, known_dead, now);
                 let node_events = self.directory.refresh_subset(now, self.counts.rpcs, dead);
-                self.apply_node_events(now, node_events, events, orders);
+                self.apply_node_events(now, node_events, events, commands);
                 if let Some(peers) = &mut self.peers {
                     let record = || own_record(&self.terms, &self.directory);
-                    orders.extend(peers.tick(now, record, self.counts.rpcs));
+                    commands.extend(peers.tick(now, record, self.counts.rpcs));
                 }
                 for id in self.rpcs.overdue(now) {
-                    self.abort_overdue(now, id, events, orders);
+                    self.abort_overdue(now, id, events, commands);
                 }
             }
         }
@@ -266,12 +271,12 @@
     }
 
     fn accept_rpc(
-        &mut self, now: Duration, id: Id, call: Call, events: &mut Vec<Event>, orders: &mut Vec<Order>,
+        &mut self, now: Duration, id: Id, call: Call, events: &mut Vec<Event>, commands: &mut Vec<Command>,
     ) {
         let known = self.terms.methods.find(call.method);
         let Some(method) = known.filter(|&method| self.method_enabled[method]) else {
             self.counts.rejected += 1;
-            orders.push(Order::Reject {
+            commands.push(Command::Reject {
                 id,
                 status: 404,
                 why: "unknown method: the path must name a method of the config",
@@ -279,40 +284,41 @@
             return;
         };
         let terms = &self.terms.rollout.methods[method];
-        if matches!(terms.repeat, Repeat::Tokened { .. }) && !call.tokened {
+        if matches!(terms.repeat, Repeat::Tokened { .. }) && !call.has_idempotency_key {
             self.counts.rejected += 1;
             let why = "this method requires an Idempotency-Key header";
-            orders.push(Order::Reject { id, status: 400, why });
+            commands.push(Command::Reject { id, status: 400, why });
             return;
         }
         // The answer must leave before the client's deadline.
-        let left = call.left.unwrap_or(terms.deadline).min(terms.deadline);
+        let left = call.time_left.unwrap_or(terms.deadline).min(terms.deadline);
         let reserve = self.terms.bounds.reserve.min(left / 4);
         let left = left.saturating_sub(reserve);
         let tenant = call.tenant.and_then(|name| self.terms.tenants.find(name));
         let at_most_once = terms.repeat == Repeat::NonIdempotent;
         let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(reserve / 2), at_most_once);
         self.counts.rpcs += 1;
-        let (key, repeated) = (call.key, call.repeated);
+        let (key, repeated) = (call.key, call.is_retry);
         events.push(Event::Rpc { rpc, method, tenant, key, time_left: left, work: None, is_retry: repeated });
     }
 
     fn end_pick(
-        &mut self, now: Duration, id: Id, pick: usize, saw: Saw, events: &mut Vec<Event>,
-        orders: &mut Vec<Order>,
+        &mut self, now: Duration, id: Id, pick: usize, observation: Observation, events: &mut Vec<Event>,
+        commands: &mut Vec<Command>,
     ) {
-        let outcome = saw.outcome();
+        let outcome = observation.outcome();
         // A second report of a pick, or a report of a pick that was already cancelled, is ignored.
         let Some(end) = self.rpcs.end_pick(id, pick, outcome == Outcome::Ok) else { return };
         let took = now.saturating_sub(end.sent.at);
         if outcome == Outcome::Ok && end.is_final {
             self.counts.ok += 1;
-            orders.push(Order::Pass { id, pick, picks: end.sent.picks, build: end.sent.build });
+            commands.push(Command::Pass { id, pick, picks: end.sent.picks, build: end.sent.build });
         }
         if end.streaming && outcome != Outcome::Ok {
-            orders.push(Order::BreakOff { id });
+            commands.push(Command::BreakOff { id });
         }
-        let (rpc, node, load, done) = (end.rpc, end.sent.node, saw.load(), end.done || end.cannot_retry);
+        let (rpc, node, load, done) =
+            (end.rpc, end.sent.node, observation.load(), end.done || end.cannot_retry);
         self.rpcs.record_outcome(id, outcome);
         if end.cannot_retry {
             // The RPC cannot be sent again, so there is nothing for the policy to decide: to the policy it is
@@ -320,13 +326,13 @@
             events.push(Event::ClientLeft { rpc });
             let never_ran = matches!(outcome, Outcome::Full | Outcome::NoConnection);
             if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
-                orders.push(if never_ran {
+                commands.push(if never_ran {
                     self.counts.pushed_back += 1;
                     let retry_after = self.terms.rollout.limits.retry_after;
-                    Order::PushBack { id, picks, retry_after, why }
+                    Command::PushBack { id, picks, retry_after, why }
                 } else {
                     self.counts.aborted += 1;
-                    Order::Abort { id, picks, why }
+                    Command::Abort { id, picks, why }
                 });
             }
         }
@@ -335,7 +341,7 @@
     }
 
     /// Aborts an RPC that the policy did not answer in time, so that it does not stay without an answer.
-    fn abort_overdue(&mut self, now: Duration, id: Id, events: &mut Vec<Event>, orders: &mut Vec<Order>) {
+    fn abort_overdue(&mut self, now: Duration, id: Id, events: &mut Vec<Event>, commands: &mut Vec<Command>) {
         let Some(aborted) = self.rpcs.abort(id) else { return };
         let (picks, why) = (aborted.picks, aborted.why);
         self.counts.overdue += 1;
@@ -345,42 +351,42 @@
             let (rpc, node, took) = (aborted.rpc, sent.node, now.saturating_sub(sent.at));
             let (outcome, load) = (Outcome::Timeout, Load::default());
             events.push(Event::PickEnded { rpc, pick, node, outcome, took, done: true, load });
-            orders.push(Order::Sever { id, pick });
+            commands.push(Command::Sever { id, pick });
         }
-        orders.push(Order::Abort { id, picks, why });
+        commands.push(Command::Abort { id, picks, why });
     }
 
     /// Passes events to the policy and turns its actions into commands; true if that produced new events.
     fn run_policy(
-        &mut self, now: Duration, events: Vec<Event>, more: &mut Vec<Event>, orders: &mut Vec<Order>,
+        &mut self, now: Duration, events: Vec<Event>, more: &mut Vec<Event>, commands: &mut Vec<Command>,
     ) -> bool {
         for action in self.policy.handle(now, events) {
             match action {
-                Action::Pick { rpc, node, within } => self.start_pick(now, rpc, node, within, more, orders),
+                Action::Pick { rpc, node, within } => self.start_pick(now, rpc, node, within, more, commands),
                 Action::PushBack { rpc, retry_after } => {
                     if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
                         self.counts.pushed_back += 1;
-                        orders.push(Order::PushBack { id, picks, retry_after, why });
+                        commands.push(Command::PushBack { id, picks, retry_after, why });
                     }
                 }
                 Action::Abort { rpc } => {
                     if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
                         self.counts.aborted += 1;
-                        orders.push(Order::Abort { id, picks, why });
+                        commands.push(Command::Abort { id, picks, why });
                     }
                 }
                 Action::Cancel { rpc, pick } => {
-                    orders.extend(self.rpcs.id_of(rpc).map(|id| Order::Sever { id, pick }));
+                    commands.extend(self.rpcs.id_of(rpc).map(|id| Command::Sever { id, pick }));
                 }
                 Action::Wake { after, tag } => {
                     self.timers.insert((now + after, tag));
                 }
                 Action::CloseIdle { node } => {
-                    orders.extend(self.directory.addr(node).map(|node| Order::CloseIdle { node }));
+                    commands.extend(self.directory.addr(node).map(|node| Command::CloseIdle { node }));
                 }
-                Action::Tell { to, text } => self.send_to_peers(to, &text, orders),
-                Action::Log(line) => orders.push(Order::Log(line)),
-                Action::Subscribe(true) | Action::FetchList => orders.push(Order::FollowMembership),
+                Action::Tell { to, text } => self.send_to_peers(to, &text, commands),
+                Action::Log(line) => commands.push(Command::Log(line)),
+                Action::Subscribe(true) | Action::FetchList => commands.push(Command::FollowMembership),
                 // Unsubscribing and probing are not implemented here; `terms.probes` is never set.
                 Action::Subscribe(false) | Action::Probe { .. } => {}
                 Action::Vote { verdict, stage, build } => {
@@ -391,7 +397,7 @@
                         Verdict::Back => desk::Verdict::Back,
                     };
                     let (marshal, stage) = (self.terms.rollout.marshal as u32, stage as u32);
-                    orders.push(Order::Vote(desk::Vote { marshal, verdict, stage, build }));
+                    commands.push(Command::Vote(desk::Vote { marshal, verdict, stage, build }));
                 }
             }
         }
@@ -400,7 +406,7 @@
 
     fn start_pick(
         &mut self, now: Duration, rpc: RpcIx, node: NodeIx, within: Duration, more: &mut Vec<Event>,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<Command>,
     ) {
         let build = self.directory.build(node);
         let Some((id, pick)) = self.rpcs.send(rpc, node, build, now) else {
@@ -410,7 +416,7 @@
             (true, Some(addr)) => {
                 self.counts.picks += 1;
                 let careful = self.rpcs.at_most_once(id);
-                orders.push(Order::Pick { id, pick, node: addr, by: now + within, careful });
+                commands.push(Command::Pick { id, pick, node: addr, by: now + within, careful });
             }
             _ => {
                 // The RPC ended within this batch of actions: the pick is not issued and the policy is told
@@ -424,12 +430,12 @@
         }
     }
 
-    fn send_to_peers(&self, to: Option<usize>, text: &[u8], orders: &mut Vec<Order>) {
+    fn send_to_peers(&self, to: Option<usize>, text: &[u8], commands: &mut Vec<Command>) {
         let own = self.terms.rollout.marshal;
         let Some(datagram) = peer::write(peer::Kind::Policy, own as u16, text) else { return };
         let all = 0..self.terms.places.peers.len();
         for to in all.filter(|&n| n != own && to.is_none_or(|wanted| wanted == n)) {
-            orders.push(Order::Tell { to, datagram: datagram.clone() });
+            commands.push(Command::Tell { to, datagram: datagram.clone() });
         }
     }
 }
--- a/crates/marshal/src/messages.rs
+++ b/crates/marshal/src/messages.rs
@@ -19,52 +19,52 @@
     /// Routing key, as a number.
     pub key: Option<u64>,
     /// The request carries an idempotency key.
-    pub tokened: bool,
+    pub has_idempotency_key: bool,
     /// Time left until the client's deadline; `None` where the client sent none.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The client reports earlier attempts of this request.
-    pub repeated: bool,
+    pub is_retry: bool,
 }
 
 /// What the I/O layer observed on the connection of a pick.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Saw {
+pub enum Observation {
     /// A complete answer. `never_ran`: the node states that it refused the RPC without running it.
     Answer { status: u16, never_ran: bool, load: orca::Metrics },
     /// The connection was not established in time, or failed before any byte of the RPC was written.
     NotSent,
     /// The I/O layer did not start the attempt: its time was over, or the RPC no longer needed it. The node
     /// was not involved.
-    NotBegun,
+    NotAttempted,
     /// The connection broke after at least one byte may have been sent, whatever came back.
     Broken,
     /// The node's reply is not valid HTTP.
-    Garbled,
+    Malformed,
     /// The node did not answer in time.
     TimedOut,
-    /// The I/O layer closed the connection on [`Order::Sever`].
-    Severed,
+    /// The I/O layer closed the connection on [`Command::Sever`].
+    Cancelled,
 }
 
-impl Saw {
+impl Observation {
     /// Outcome of the pick that this observation proves.
     pub fn outcome(self) -> Outcome {
         match self {
             // Only a 503 may state that the RPC never ran; a success with that flag contradicts itself.
-            Saw::Answer { status: 503, never_ran: true, .. } => Outcome::Full,
-            Saw::Answer { status, .. } if status < 500 => Outcome::Ok,
-            Saw::Answer { .. } => Outcome::Error,
-            Saw::Garbled => Outcome::Malformed,
-            Saw::NotSent => Outcome::NoConnection,
-            Saw::NotBegun => Outcome::NotAttempted,
-            Saw::Broken => Outcome::Reset,
-            Saw::TimedOut => Outcome::Timeout,
-            Saw::Severed => Outcome::Cancelled,
+            Observation::Answer { status: 503, never_ran: true, .. } => Outcome::Full,
+            Observation::Answer { status, .. } if status < 500 => Outcome::Ok,
+            Observation::Answer { .. } => Outcome::Error,
+            Observation::Malformed => Outcome::Malformed,
+            Observation::NotSent => Outcome::NoConnection,
+            Observation::NotAttempted => Outcome::NotAttempted,
+            Observation::Broken => Outcome::Reset,
+            Observation::TimedOut => Outcome::Timeout,
+            Observation::Cancelled => Outcome::Cancelled,
         }
     }
 
     pub(crate) fn load(self) -> Load {
-        let Saw::Answer { load, .. } = self else { return Load::default() };
+        let Observation::Answer { load, .. } = self else { return Load::default() };
         Load {
             in_flight: load.in_flight,
             queue: load.queue,
@@ -95,37 +95,37 @@
     /// A new RPC from a client.
     Rpc { id: Id, call: Call<'a> },
     /// The answer of a pick is too long to buffer: its head may be passed on now, the rest is streamed.
-    Began { id: Id, pick: usize },
+    AnswerBegan { id: Id, pick: usize },
     /// A pick has ended.
-    Ended { id: Id, pick: usize, saw: Saw },
+    PickEnded { id: Id, pick: usize, observation: Observation },
     /// Body bytes that are not buffered were read from the client for this pick, so the RPC cannot be sent
     /// again. `waited`: time spent waiting for the client since the last such report.
-    Drawn { id: Id, pick: usize, waited: Duration },
+    BodyConsumed { id: Id, pick: usize, waited: Duration },
     /// The client disconnected.
     ClientLeft { id: Id },
     /// A complete node list from discovery.
-    Membership(&'a [list::Listed]),
+    NodeList(&'a [list::Listed]),
     /// The node list saved before the restart; it may be out of date.
-    Known(&'a [list::Listed]),
+    CachedNodeList(&'a [list::Listed]),
     /// The node list subscription broke, or could not be established.
-    MembershipLost,
+    NodeListLost,
     /// State of discovery, as seen by a call to it.
     Discovery(DiscoverySignal),
     /// An update from the rollout controller.
-    News(&'a desk::News),
+    RolloutUpdate(&'a desk::News),
     /// The rollout controller's answer to this marshal's vote.
-    Voted(Ballot),
+    VoteAnswered(Ballot),
     /// A datagram from another marshal.
-    Peer(&'a [u8]),
+    PeerDatagram(&'a [u8]),
     /// This marshal is shutting down.
-    Leaving,
-    /// A timer expired, see [`Core::due`](crate::Core::due).
+    ShuttingDown,
+    /// A timer expired, see [`Core::next_tick`](crate::Core::next_tick).
     Tick,
 }
 
 /// Why an RPC did not end with ok.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureReason {
     /// No pick was made, or none that can have run.
     NoRoom,
     /// The last pick ended in an error, or its connection broke.
@@ -134,21 +134,21 @@
     TimedOut,
 }
 
-impl Why {
+impl FailureReason {
     /// The reason as written in the `ivydrift-why` header.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::NoRoom => "no-room",
-            Why::Failed => "failed",
-            Why::TimedOut => "timed-out",
+            FailureReason::NoRoom => "no-room",
+            FailureReason::Failed => "failed",
+            FailureReason::TimedOut => "timed-out",
         }
     }
 }
 
 /// A command that the I/O layer must carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    /// Send the RPC to a node and report [`Input::Ended`] exactly once, by `by` at the latest even if the
+pub enum Command {
+    /// Send the RPC to a node and report [`Input::PickEnded`] exactly once, by `by` at the latest even if the
     /// command is carried out late. `careful`: the RPC must not run twice, so do not use an idle connection
     /// that may already be dead.
     Pick { id: Id, pick: usize, node: SocketAddr, by: Duration, careful: bool },
@@ -156,9 +156,9 @@
     Pass { id: Id, pick: usize, picks: usize, build: Build },
     /// Final answer pushed back: the client may try again later. Either nothing ran, or running twice does no
     /// harm.
-    PushBack { id: Id, picks: usize, retry_after: Option<Duration>, why: Why },
+    PushBack { id: Id, picks: usize, retry_after: Option<Duration>, why: FailureReason },
     /// Final answer aborted: the RPC failed, and whether it ran is not known.
-    Abort { id: Id, picks: usize, why: Why },
+    Abort { id: Id, picks: usize, why: FailureReason },
     /// Answer to a request that is not a valid RPC: an HTTP status and a message.
     Reject { id: Id, status: u16, why: &'static str },
     /// An answer broke off while it was being forwarded: close the client's connection so that the client
@@ -178,22 +178,22 @@
     Log(String),
 }
 
-impl Order {
+impl Command {
     /// The RPC that the command concerns, if any.
     pub fn rpc(&self) -> Option<Id> {
         match self {
-            Order::Pick { id, .. }
-            | Order::Pass { id, .. }
-            | Order::PushBack { id, .. }
-            | Order::Abort { id, .. }
-            | Order::Reject { id, .. }
-            | Order::BreakOff { id }
-            | Order::Sever { id, .. } => Some(*id),
-            Order::CloseIdle { .. }
-            | Order::Tell { .. }
-            | Order::Vote(_)
-            | Order::FollowMembership
-            | Order::Log(_) => None,
+            Command::Pick { id, .. }
+            | Command::Pass { id, .. }
+            | Command::PushBack { id, .. }
+            | Command::Abort { id, .. }
+            | Command::Reject { id, .. }
+            | Command::BreakOff { id }
+            | Command::Sever { id, .. } => Some(*id),
+            Command::CloseIdle { .. }
+            | Command::Tell { .. }
+            | Command::Vote(_)
+            | Command::FollowMembership
+            | Command::Log(_) => None,
         }
     }
 }
--- a/crates/marshal/src/node_list.rs
+++ b/crates/marshal/src/node_list.rs
@@ -5,7 +5,7 @@
 
 use ivydrift_policy::port::*;
 
-use crate::{Core, Order, PendingNodes};
+use crate::{Command, Core, PendingNodes};
 
 impl Core {
     /// Nodes that the policy knows: all listed ones, or this marshal's subset of a large list.
@@ -15,15 +15,16 @@
 
     /// Passes node events to the policy, and closes idle connections that the change makes obsolete.
     pub(crate) fn apply_node_events(
-        &mut self, now: Duration, node_events: Vec<Event>, events: &mut Vec<Event>, orders: &mut Vec<Order>,
+        &mut self, now: Duration, node_events: Vec<Event>, events: &mut Vec<Event>,
+        commands: &mut Vec<Command>,
     ) {
         // A new process may run at the address by now, and connections to the earlier one may be dead without
         // notice.
         let obsolete = self.directory.obsolete_addrs.drain(..);
-        orders.extend(obsolete.map(|node| Order::CloseIdle { node }));
+        commands.extend(obsolete.map(|node| Command::CloseIdle { node }));
         if node_events.iter().any(|event| matches!(event, Event::ListCoverage(_))) {
             let (known, listed) = self.directory.counts();
-            orders.push(Order::Log(format!("holds {known} of {listed} listed nodes")));
+            commands.push(Command::Log(format!("holds {known} of {listed} listed nodes")));
         }
         if self.controller_heard {
             events.extend(node_events);
--- a/crates/marshal/src/peers.rs
+++ b/crates/marshal/src/peers.rs
@@ -8,7 +8,7 @@
 use ivydrift_terms::Terms;
 use ivydrift_wire::peer::{self, About, Kind, More, Row, View};
 
-use crate::Order;
+use crate::Command;
 
 /// Minimum interval between updates of this marshal's record.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
@@ -71,13 +71,13 @@
         self.members.resize(self.count);
     }
 
-    pub fn due(&self) -> Duration {
+    pub fn next_tick(&self) -> Duration {
         self.members.due()
     }
 
     /// `about`: this marshal's record without its RPC rate; `rpcs_accepted`: RPCs accepted since the start.
-    pub fn tick(&mut self, now: Duration, about: impl Fn() -> About, rpcs_accepted: u64) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn tick(&mut self, now: Duration, about: impl Fn() -> About, rpcs_accepted: u64) -> Vec<Command> {
+        let mut commands = Vec::new();
         if now >= self.last_published + PUBLISH_INTERVAL {
             let span = now.saturating_sub(self.last_published.max(self.begun)).as_secs_f64().max(0.001);
             let rate = (rpcs_accepted.saturating_sub(self.rpcs_at_publish) as f64 / span) as f32;
@@ -87,15 +87,15 @@
             let _ = self
                 .members
                 .publish([peer::pack(&About { rate, ..about() }), self.own_sections.write()].concat());
-            orders.extend(self.update_level(now));
+            commands.extend(self.update_level(now));
         }
         let outs = if now >= self.members.due() { self.members.handle(now, Input::Tick) } else { vec![] };
-        orders.extend(self.orders(outs));
-        orders
+        commands.extend(self.commands(outs));
+        commands
     }
 
     /// Updates the protocol level that all present marshals have in common, from their records.
-    fn update_level(&mut self, now: Duration) -> Option<Order> {
+    fn update_level(&mut self, now: Duration) -> Option<Command> {
         let unknown = Speech { least: 0, most: self.level.get() };
         let others = self.members.view(now).filter(|v| v.number != self.number && v.state.present());
         // A marshal whose record has not arrived yet neither raises nor lowers the level.
@@ -104,33 +104,33 @@
         let changed = self.level.step(now, others.map(speech));
         if self.level.apart() && !was_apart {
             let line = "a marshal is present that has no protocol level in common with this one";
-            return Some(Order::Log(line.to_owned()));
+            return Some(Command::Log(line.to_owned()));
         }
-        changed.then(|| Order::Log(format!("protocol level: {level} to {}", self.level.get())))
+        changed.then(|| Command::Log(format!("protocol level: {level} to {}", self.level.get())))
     }
 
-    pub fn receive(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Vec<Order> {
+    pub fn receive(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Vec<Command> {
         let outs = self.members.handle(now, Input::Heard { from, bytes });
-        self.orders(outs)
+        self.commands(outs)
     }
 
-    pub fn leave(&mut self, now: Duration) -> Vec<Order> {
+    pub fn leave(&mut self, now: Duration) -> Vec<Command> {
         let outs = self.members.leave(now);
-        self.orders(outs)
+        self.commands(outs)
     }
 
-    fn orders(&self, outs: Vec<Out>) -> Vec<Order> {
-        let order = |out| match out {
+    fn commands(&self, outs: Vec<Out>) -> Vec<Command> {
+        let command = |out| match out {
             Out::Send { to, bytes } => {
                 let datagram = peer::write(Kind::Members, self.number, &bytes)?;
-                Some(Order::Tell { to: to.into(), datagram })
+                Some(Command::Tell { to: to.into(), datagram })
             }
             Out::Changed { number, from, to, life } => {
                 let (from, to) = (from.word(), to.word());
-                Some(Order::Log(format!("marshal {number}: {from} to {to}, life {life}")))
+                Some(Command::Log(format!("marshal {number}: {from} to {to}, life {life}")))
             }
         };
-        outs.into_iter().filter_map(order).collect()
+        outs.into_iter().filter_map(command).collect()
     }
 
     /// Numbers of the marshals that have been dead, or have left, for at least `after`.
@@ -221,7 +221,7 @@
             let end = self.now + span;
             while self.now < end {
                 self.now += ms(25);
-                let mut orders = self.new.tick(self.now, about, 0);
+                let mut commands = self.new.tick(self.now, about, 0);
                 let mut outs = vec![];
                 if self.old_running {
                     self.old.publish(peer::pack(&about())).unwrap();
@@ -233,8 +233,8 @@
                 }
                 for _ in 0..4 {
                     let theirs = std::mem::take(&mut outs);
-                    for order in std::mem::take(&mut orders) {
-                        let Order::Tell { datagram, .. } = order else { continue };
+                    for command in std::mem::take(&mut commands) {
+                        let Command::Tell { datagram, .. } = command else { continue };
                         let (kind, from, bytes) = peer::read(&datagram).unwrap();
                         assert_eq!(
                             (kind, from),
@@ -247,7 +247,7 @@
                     }
                     for out in theirs {
                         if let Out::Send { bytes, .. } = out {
-                            orders.extend(self.new.receive(self.now, 1, &bytes));
+                            commands.extend(self.new.receive(self.now, 1, &bytes));
                         }
                     }
                 }
--- a/crates/marshal/src/rpcs.rs
+++ b/crates/marshal/src/rpcs.rs
@@ -5,7 +5,7 @@
 
 use ivydrift_policy::port::*;
 
-use crate::{Id, Why};
+use crate::{FailureReason, Id};
 
 /// A pick that was sent. `picks`: number of the RPC's picks so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,11 +37,13 @@
         self.picks.iter().enumerate().filter(|(_, p)| p.1).map(|(i, p)| (i, p.0))
     }
 
-    fn why(&self) -> Why {
+    fn why(&self) -> FailureReason {
         match self.last_outcome {
-            None | Some(Outcome::Full | Outcome::NoConnection | Outcome::NotAttempted) => Why::NoRoom,
-            Some(Outcome::Timeout) => Why::TimedOut,
-            Some(_) => Why::Failed,
+            None | Some(Outcome::Full | Outcome::NoConnection | Outcome::NotAttempted) => {
+                FailureReason::NoRoom
+            }
+            Some(Outcome::Timeout) => FailureReason::TimedOut,
+            Some(_) => FailureReason::Failed,
         }
     }
 }
@@ -65,7 +67,7 @@
     pub rpc: RpcIx,
     pub in_flight: Vec<(usize, SentPick)>,
     pub picks: usize,
-    pub why: Why,
+    pub why: FailureReason,
 }
 
 /// An RPC whose client has disconnected, with its picks in flight.
@@ -145,7 +147,7 @@
     }
 
     /// Records that the marshal itself gives the final answer; `None` where the RPC already has one.
-    pub fn finish(&mut self, rpc: RpcIx) -> Option<(Id, usize, Why)> {
+    pub fn finish(&mut self, rpc: RpcIx) -> Option<(Id, usize, FailureReason)> {
         let id = self.id_of(rpc)?;
         let entry = self.entries.get_mut(&id).filter(|entry| !entry.finished)?;
         entry.finished = true;
@@ -222,7 +224,7 @@
         entry.finished = true;
         let in_flight: Vec<_> = entry.in_flight().collect();
         entry.picks.iter_mut().for_each(|p| p.1 = false);
-        let why = if in_flight.is_empty() { entry.why() } else { Why::TimedOut };
+        let why = if in_flight.is_empty() { entry.why() } else { FailureReason::TimedOut };
         let aborted = AbortedRpc { rpc: entry.rpc, in_flight, picks: entry.picks.len(), why };
         self.by_deadline.remove(&(entry.policy_deadline, id));
         self.remove_if_done(id);
--- a/crates/marshal/src/send_check.rs
+++ b/crates/marshal/src/send_check.rs
@@ -16,7 +16,7 @@
 
 impl Withheld {
     /// The reason in log lines.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Withheld::Withdrawn => "the node drains or is gone",
             Withheld::StaleList => "the list of nodes is not confirmed",
@@ -26,7 +26,7 @@
 
 impl Core {
     /// Whether the node list is still valid: confirmed recently enough, or without a validity limit.
-    pub(crate) fn list_holds(&self, now: Duration) -> bool {
+    pub(crate) fn list_is_valid(&self, now: Duration) -> bool {
         self.policy.list_is_valid(now)
     }
 
@@ -35,7 +35,7 @@
     /// # Errors
     /// The reason why not.
     pub fn may_send(&self, now: Duration, node: SocketAddr) -> Result<(), Withheld> {
-        if !self.list_holds(now) {
+        if !self.list_is_valid(now) {
             return Err(Withheld::StaleList);
         }
         if !self.directory.sendable(node) {
@@ -46,7 +46,7 @@
 
     /// How long after the drain grace period a send that began at `begun` came; `None` where it kept the
     /// drain rule.
-    pub fn late_send(&self, begun: Duration, node: SocketAddr) -> Option<Duration> {
+    pub fn drain_violation(&self, begun: Duration, node: SocketAddr) -> Option<Duration> {
         let withdrawn_at = self.directory.withdrawn_at(node)?;
         begun.checked_sub(withdrawn_at + self.terms.rollout.rules.drain_grace).filter(|late| !late.is_zero())
     }
--- a/crates/marshal/src/services/config_split.rs
+++ b/crates/marshal/src/services/config_split.rs
@@ -39,7 +39,7 @@
 
 /// Returns the config of `places.service` and that of all others.
 pub fn split(mut terms: Terms) -> (Terms, OnDemandConfig) {
-    let home: Arc<str> = terms.places.service.clone().into();
+    let primary: Arc<str> = terms.places.service.clone().into();
     let serves = std::mem::take(&mut terms.serves);
     let (names, values) = (std::mem::take(&mut terms.methods), std::mem::take(&mut terms.rollout.methods));
     let tenants: (Names, Vec<TenantConfig>) =
@@ -54,7 +54,7 @@
     let of = serves.into_iter().map(Some).chain(std::iter::repeat(None));
     let mut home_methods = Vec::new();
     for ((name, value), of) in names.iter().zip(values).zip(of) {
-        match of.filter(|of| *of != home) {
+        match of.filter(|of| *of != primary) {
             None => {
                 home_methods.push(name);
                 terms.rollout.methods.push(value);
--- a/crates/marshal/src/services/instance.rs
+++ b/crates/marshal/src/services/instance.rs
@@ -8,9 +8,9 @@
 use ivydrift_wire::desk::{RolloutState, Stage};
 
 use super::config_split::OnDemandConfig;
-use super::{Dropped, Hold, ServiceState};
+use super::{DropReason, InstanceId, ServiceState};
 use crate::config_update::MAX_METHODS;
-use crate::{Ballot, Core, Input, Order};
+use crate::{Ballot, Command, Core, Input};
 
 /// A service may sleep after this long without RPCs in flight or news: evidence halves every 5 s and verdicts
 /// are weighed for at most 15 s, so nothing is left to decide.
@@ -83,9 +83,9 @@
         }
     }
 
-    pub fn state(&self, of: Hold) -> ServiceState {
+    pub fn state(&self, instance_id: InstanceId) -> ServiceState {
         let (service, ready, rpcs) = (self.name.clone(), self.core.ready(), self.core.counts().held);
-        ServiceState { of, service, ready, rpcs, bytes: self.bytes, asleep: self.asleep }
+        ServiceState { instance: instance_id, service, ready, rpcs, bytes: self.bytes, asleep: self.asleep }
     }
 
     /// Window of a method's idempotency keys.
@@ -98,18 +98,18 @@
         }
     }
 
-    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Command> {
+        let mut commands = Vec::new();
         // Tick first, so that the policy decides on the present and not on the time when it fell asleep.
         if std::mem::take(&mut self.asleep) && !matches!(input, Input::Tick) {
-            orders = self.core.handle(now, Input::Tick);
+            commands = self.core.handle(now, Input::Tick);
         }
         self.observe(now, &input);
-        orders.extend(self.core.handle(now, input));
-        if orders.iter().any(|o| matches!(o, Order::Vote(_))) {
+        commands.extend(self.core.handle(now, input));
+        if commands.iter().any(|o| matches!(o, Command::Vote(_))) {
             self.keep_awake(now, SLEEP_AFTER);
         }
-        orders
+        commands
     }
 
     fn keep_awake(&mut self, now: Duration, span: Duration) {
@@ -122,13 +122,13 @@
                 self.last_rpc = now;
                 self.keep_awake(now, SLEEP_AFTER);
             }
-            Input::Membership(nodes) => {
+            Input::NodeList(nodes) => {
                 (self.subscribed, self.list_received, self.has_nodes) = (true, true, !nodes.is_empty());
                 self.measured_at = None;
                 self.keep_awake(now, AWAKE_AFTER_LIST);
             }
-            Input::MembershipLost => self.subscribed = false,
-            Input::News(news) => {
+            Input::NodeListLost => self.subscribed = false,
+            Input::RolloutUpdate(news) => {
                 let same = |a: &Stage, b: &Stage| Stage { age_ms: b.age_ms, ..*a } == *b;
                 let stage_changed = match (&news.stage, &self.stage) {
                     (Some(new), Some(old)) => !same(new, old),
@@ -139,7 +139,7 @@
                 }
                 self.set_stage(news.stage);
             }
-            Input::Voted(ballot) => {
+            Input::VoteAnswered(ballot) => {
                 self.keep_awake(now, SLEEP_AFTER);
                 if let Ballot::Answered(answer) = ballot {
                     self.set_stage(Some(answer.stage));
@@ -174,11 +174,11 @@
     }
 
     /// Why the service is to be dropped now, if it is.
-    pub fn drop_reason(&self, now: Duration, idle_limit: Duration) -> Option<Dropped> {
+    pub fn drop_reason(&self, now: Duration, idle_limit: Duration) -> Option<DropReason> {
         let why = match (self.not_configured, self.list_refused) {
-            (true, _) => Dropped::NotConfigured,
-            (_, true) => Dropped::ListTooLarge,
-            _ if now >= self.last_rpc + idle_limit => Dropped::Idle,
+            (true, _) => DropReason::NotConfigured,
+            (_, true) => DropReason::ListTooLarge,
+            _ if now >= self.last_rpc + idle_limit => DropReason::Idle,
             _ => return None,
         };
         Some(why).filter(|_| !self.is_open(now))
@@ -189,7 +189,7 @@
         let has_rpcs = self.core.counts().held > 0;
         let quiet = !has_rpcs && self.subscribed && !self.on_trial && self.core.pending_nodes.is_none();
         self.asleep = quiet && now >= self.awake_until;
-        let wake = if self.asleep { now + SLEEP_TICK } else { self.core.due() };
+        let wake = if self.asleep { now + SLEEP_TICK } else { self.core.next_tick() };
         let drop_at = if self.not_configured || self.list_refused {
             Duration::ZERO
         } else {
@@ -205,7 +205,7 @@
 
     /// # Errors
     /// The core would have more method names than it may.
-    pub fn check_renew(&self, on_demand: &OnDemandConfig) -> Result<(), String> {
+    pub fn check_reconfigure(&self, on_demand: &OnDemandConfig) -> Result<(), String> {
         let known: BTreeSet<&str> = self.core.terms.methods.iter().collect();
         let new = on_demand.methods(&self.name).iter().filter(|m| !known.contains(&m.0[..])).count();
         let name = &self.name;
@@ -217,10 +217,10 @@
         }
     }
 
-    pub fn renew(&mut self, on_demand: &OnDemandConfig) {
+    pub fn reconfigure(&mut self, on_demand: &OnDemandConfig) {
         self.not_configured = on_demand.methods(&self.name).is_empty();
-        // `check_renew` has excluded the errors. If one occurs all the same, the earlier config stays and the
+        // `check_reconfigure` has excluded the errors. If one occurs all the same, the earlier config stays and the
         // service is dropped.
-        self.not_configured |= self.core.renew(on_demand.config_for(&self.name)).is_err();
+        self.not_configured |= self.core.reconfigure(on_demand.config_for(&self.name)).is_err();
     }
 }
--- a/crates/marshal/src/services/send_check.rs
+++ b/crates/marshal/src/services/send_check.rs
@@ -3,25 +3,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{Services, HOME};
+use super::{Services, PRIMARY};
 use crate::{Core, Id, Withheld};
 
 impl Services {
     /// See [`Core::read_wall_clock`], for every service.
-    pub fn read_wall_clock(&mut self, zero_ms: u64) {
-        self.zero_ms = zero_ms;
-        self.home.read_wall_clock(zero_ms);
-        self.instances.values_mut().for_each(|instance| instance.core.read_wall_clock(zero_ms));
+    pub fn set_wall_clock(&mut self, epoch_ms: u64) {
+        self.epoch_ms = epoch_ms;
+        self.primary.set_wall_clock(epoch_ms);
+        self.instances.values_mut().for_each(|instance| instance.core.set_wall_clock(epoch_ms));
     }
 
     /// Whether the node list of `places.service` is still valid.
-    pub fn list_holds(&self, now: Duration) -> bool {
-        self.home.list_holds(now)
+    pub fn list_is_valid(&self, now: Duration) -> bool {
+        self.primary.list_is_valid(now)
     }
 
     fn core_for(&self, id: Id) -> &Core {
-        let of = self.rpcs.get(&id).map_or(HOME, |taken| taken.of);
-        self.instances.get(&of).map_or(&self.home, |instance| &instance.core)
+        let instance_id = self.rpcs.get(&id).map_or(PRIMARY, |taken| taken.instance_id);
+        self.instances.get(&instance_id).map_or(&self.primary, |instance| &instance.core)
     }
 
     /// See [`Core::may_send`], by the node list of the RPC's service.
@@ -32,8 +32,8 @@
         self.core_for(id).may_send(now, node)
     }
 
-    /// See [`Core::late_send`], by the node list of the RPC's service.
-    pub fn late_send(&self, begun: Duration, id: Id, node: SocketAddr) -> Option<Duration> {
-        self.core_for(id).late_send(begun, node)
+    /// See [`Core::drain_violation`], by the node list of the RPC's service.
+    pub fn drain_violation(&self, begun: Duration, id: Id, node: SocketAddr) -> Option<Duration> {
+        self.core_for(id).drain_violation(begun, node)
     }
 }
--- a/crates/marshal/src/wall_clock.rs
+++ b/crates/marshal/src/wall_clock.rs
@@ -14,19 +14,19 @@
 }
 
 impl WallClock {
-    pub fn new(zero_ms: u64) -> Self {
-        WallClock { zeros_ms: vec![zero_ms] }
+    pub fn new(epoch_ms: u64) -> Self {
+        WallClock { zeros_ms: vec![epoch_ms] }
     }
 
     /// Records the current offset, if it differs from all known ones by a step.
-    pub fn record(&mut self, zero_ms: u64) {
-        if self.zeros_ms.iter().any(|known| known.abs_diff(zero_ms) <= STEP_MS) {
+    pub fn record(&mut self, epoch_ms: u64) {
+        if self.zeros_ms.iter().any(|known| known.abs_diff(epoch_ms) <= STEP_MS) {
             return;
         }
         if self.zeros_ms.len() >= MAX_OFFSETS {
             self.zeros_ms.remove(0);
         }
-        self.zeros_ms.push(zero_ms);
+        self.zeros_ms.push(epoch_ms);
     }
 
     /// Converts a Unix time given by another process to the marshal's time, by each known offset. Returns the
