--- a/crates/measure/src/scale/nodes.rs
+++ b/crates/measure/src/scale/nodes.rs
@@ -42,7 +42,7 @@
     harness.now += Duration::from_millis(100);
     let index = at * 7 % listed.len();
     listed[index].started_ms = listed[index].started_ms.map(|ms| ms + 1000);
-    harness.handle(Input::Membership(listed))
+    harness.handle(Input::NodeList(listed))
 }
 
 fn run_child(known: usize) -> Result<(), Error> {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -85,7 +85,7 @@
 
 impl Kind {
     /// Name on the wire.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Kind::Ok => "ok",
             Kind::PushedBack => "pushed-back",
@@ -95,7 +95,9 @@
 
     /// Reads the kind from the fields of a response; none if a marshal did not produce it.
     pub fn read(fields: &Fields) -> Option<Kind> {
-        [Kind::Ok, Kind::PushedBack, Kind::Aborted].into_iter().find(|k| fields.get(ANSWER) == Some(k.word()))
+        [Kind::Ok, Kind::PushedBack, Kind::Aborted]
+            .into_iter()
+            .find(|k| fields.get(ANSWER) == Some(k.as_str()))
     }
 }
 
