--- a/crates/commons/src/lib.rs
+++ b/crates/commons/src/lib.rs
@@ -9,6 +9,6 @@
 //! The crate uses no socket, clock or thread.
 #![forbid(unsafe_code)]
 
-pub mod large;
+pub mod large_state;
 pub mod level;
 pub mod sections;
--- a/crates/commons/tests/large.rs
+++ b/crates/commons/tests/large.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ivydrift_commons::large::{Key, Notice, States, Word, STATES, STATE_BYTES};
+use ivydrift_commons::large_state::{Key, Notice, States, Word, STATES, STATE_BYTES};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
--- a/crates/edge/src/clients/caller.rs
+++ b/crates/edge/src/clients/caller.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Command, Id, Input};
-use ivydrift_wire::body::{Part, Walk};
+use ivydrift_wire::body_framing::{Part, Walk};
 use ivydrift_wire::http::Refusal;
 
 use super::{TOO_LONG, TOO_SLOW, WRITE_TIMEOUT};
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_wire::body::{Part, Walk};
+use ivydrift_wire::body_framing::{Part, Walk};
 use ivydrift_wire::http::{self, Framing, HeadWriter, Refusal, Request};
 
 use crate::Edge;
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::Observation;
-use ivydrift_wire::body::{Part, Walk};
+use ivydrift_wire::body_framing::{Part, Walk};
 use ivydrift_wire::http::{self, Framing, Response};
 
 use crate::dialect::Dialect;
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Ballot, Input};
-use ivydrift_platform::desk::{self, Line};
+use ivydrift_platform::controller::{self, Line};
 use ivydrift_sockets::coroutine::{go, pause, restart_on_panic};
 use ivydrift_sockets::Socket;
-use ivydrift_wire::desk::{ControllerCounts, Counted, Disputed, News, Stage, Vote, VoteAnswer};
+use ivydrift_wire::controller::{ControllerCounts, Counted, Disputed, News, Stage, Vote, VoteAnswer};
 
 use crate::dialect::Platform;
 use crate::query::backoff;
@@ -44,11 +44,11 @@
     fn next(&mut self, deadline: Instant) -> io::Result<Line> {
         loop {
             if let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") {
-                let line = desk::line(&self.buf[..end]);
+                let line = controller::line(&self.buf[..end]);
                 self.buf.drain(..end + 2);
                 return line.map_err(|why| io::Error::new(ErrorKind::InvalidData, why));
             }
-            if self.buf.len() >= desk::LINE_BYTES {
+            if self.buf.len() >= controller::LINE_BYTES {
                 return Err(io::Error::new(
                     ErrorKind::InvalidData,
                     "line from the rollout controller exceeds the length limit",
@@ -92,7 +92,7 @@
     let has_moved = || edge.address_generation.load(Ordering::Acquire) != address_generation;
     let mut failures = 0;
     while !has_moved() {
-        let opened = ControllerConnection::open(to, desk::FOLLOW, Instant::now() + CONNECT_TIMEOUT);
+        let opened = ControllerConnection::open(to, controller::FOLLOW, Instant::now() + CONNECT_TIMEOUT);
         let result = opened.and_then(|mut connection| -> io::Result<()> {
             loop {
                 let line = connection.next(Instant::now() + RECONNECT_AFTER)?;
@@ -120,7 +120,7 @@
 pub fn send_vote(edge: &Edge, vote: &Vote) -> Ballot {
     let settings = edge.settings();
     let deadline = Instant::now() + settings.vote_wait;
-    let answer = ControllerConnection::open(settings.places.release_desk, &desk::vote(vote), deadline)
+    let answer = ControllerConnection::open(settings.places.release_desk, &controller::vote(vote), deadline)
         .and_then(|mut connection| connection.next(deadline));
     match answer {
         Ok(Line::Done(Some(stage))) => Ballot::Answered(VoteAnswer { counted: Counted::Counts, stage }),
--- a/crates/edge/src/races.rs
+++ b/crates/edge/src/races.rs
@@ -10,7 +10,7 @@
 use ivydrift_marshal::{Call, Command, Input, Observation};
 use ivydrift_sockets::coroutine::go;
 use ivydrift_sockets::{Listener, Socket};
-use ivydrift_wire::desk::{News, RolloutState, Stage, Verdict, Vote};
+use ivydrift_wire::controller::{News, RolloutState, Stage, Verdict, Vote};
 use ivydrift_wire::list::{Listed, State};
 
 use crate::clients::{self, Client};
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -10,7 +10,7 @@
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::start::Start;
 use ivydrift_terms::{Places, Terms};
-use ivydrift_wire::desk::News;
+use ivydrift_wire::controller::News;
 
 use crate::dialect::{self, Dialect};
 use crate::guard::{Violations, WithheldCounts};
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivydrift_marshal::{Ballot, DiscoverySignal, Input};
-use ivydrift_wire::{desk, list};
+use ivydrift_wire::{controller, list};
 
 use crate::dialect::Dialect;
 use crate::query::{backoff, QueryClient, QueryError};
@@ -103,9 +103,12 @@
         let mut client = QueryClient::with_handle(&held.controller_query, controller_addr, edge.marshal);
         let (mut index, mut failures) = (0, 0);
         while !edge.stopping() {
-            let path = desk::path(index, CONTROLLER_HOLD.as_secs(), edge.marshal, held.service.as_deref());
-            let answer = client.send("GET", &path, b"", desk::NEWS_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
-            let parsed = answer.map_err(|e| e.to_string()).and_then(|reply| desk::read_news(&reply.body));
+            let path =
+                controller::path(index, CONTROLLER_HOLD.as_secs(), edge.marshal, held.service.as_deref());
+            let answer =
+                client.send("GET", &path, b"", controller::NEWS_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
+            let parsed =
+                answer.map_err(|e| e.to_string()).and_then(|reply| controller::read_news(&reply.body));
             let passed_on = edge.if_addresses_unchanged(address_generation, || {
                 parsed
                     .iter()
@@ -137,18 +140,18 @@
     /// A vote is in flight.
     in_flight: bool,
     /// The latest vote that waits for the one in flight.
-    waiting: Option<desk::Vote>,
+    waiting: Option<controller::Vote>,
 }
 
 /// Casts a vote once no other is in flight. A waiting vote is replaced by a newer one, since only the last
 /// counts.
 #[cfg(test)]
-pub fn cast_home_vote(edge: &Arc<Edge>, vote: desk::Vote) {
+pub fn cast_home_vote(edge: &Arc<Edge>, vote: controller::Vote) {
     cast_vote(edge, &edge.primary, vote);
 }
 
 /// Casts a vote on one service.
-pub fn cast_vote(edge: &Arc<Edge>, held: &Arc<HeldService>, vote: desk::Vote) {
+pub fn cast_vote(edge: &Arc<Edge>, held: &Arc<HeldService>, vote: controller::Vote) {
     let mut votes = held.votes.lock().unwrap();
     if std::mem::replace(&mut votes.in_flight, true) {
         votes.waiting = Some(vote);
@@ -176,7 +179,8 @@
             // The core waits for the answer to a later vote, but what this answer says about the build is
             // still valid.
             if let Ballot::Answered(answer) = ballot {
-                let news = desk::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
+                let news =
+                    controller::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
                 edge.dispatch_for(held.service_id, Input::RolloutUpdate(&news), 0);
             }
             vote = later;
@@ -185,14 +189,14 @@
 }
 
 /// Sends one vote in the native dialect and returns its result.
-fn send_vote(edge: &Edge, held: &HeldService, vote: &desk::Vote) -> Ballot {
+fn send_vote(edge: &Edge, held: &HeldService, vote: &controller::Vote) -> Ballot {
     let service = held.service.as_deref().map(str::to_owned);
-    let body = desk::write(&desk::ServiceVote { vote: *vote, service });
+    let body = controller::write(&controller::ServiceVote { vote: *vote, service });
     let settings = edge.settings();
     let mut client = QueryClient::new(settings.places.release_desk, edge.marshal);
-    let answer = client.send("POST", "/v1/votes", &body, desk::NEWS_BYTES, settings.vote_wait);
+    let answer = client.send("POST", "/v1/votes", &body, controller::NEWS_BYTES, settings.vote_wait);
     match answer {
-        Ok(reply) => match desk::read_vote_answer(&reply.body) {
+        Ok(reply) => match controller::read_vote_answer(&reply.body) {
             Ok(answer) => Ballot::Answered(answer),
             Err(_) => Ballot::Failed,
         },
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod controller;
 pub mod message;
-pub mod sight;
+pub mod observation;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use ivydrift_leases::{order::order, timed_out, Place, Tree, GRANT_TERM, LEASE_TERM, REPORT_LIFETIME};
 pub use ivydrift_leases::{Number, FAN_OUT, TICK_INTERVAL};
 use message::{Message, Move, Told, ZONES};
-use sight::{Sight, Sights};
+use observation::{Sight, Sights};
 
 /// Fraction of a zone's capacity that its own clients may use, and up to which spare capacity is leased to
 /// others.
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -1,10 +1,10 @@
 //! Wire format of the messages between marshals about failover; a malformed message is dropped.
 
-use ivydrift_leases::words::{Down, Up};
+use ivydrift_leases::message::{Down, Up};
 use serde::{Deserialize, Serialize};
 
 use crate::controller::Stage;
-use crate::sight::Sights;
+use crate::observation::Sights;
 
 /// Maximum number of zones, so that a message fits a datagram.
 pub const ZONES: usize = 16;
--- a/crates/failover/tests/sim/mod.rs
+++ b/crates/failover/tests/sim/mod.rs
@@ -8,7 +8,7 @@
 
 use ivydrift_failover::controller::Stage;
 use ivydrift_failover::message::Message;
-use ivydrift_failover::sight::Sight;
+use ivydrift_failover::observation::Sight;
 use ivydrift_failover::{Failover, Number, Out, Plan, Site, Snapshot, TICK_INTERVAL};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/failover/tests/words.rs
+++ b/crates/failover/tests/words.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use ivydrift_failover::message::{Message, Move, Told};
-use ivydrift_failover::sight::{Sight, Sights};
+use ivydrift_failover::observation::{Sight, Sights};
 use ivydrift_failover::{Failover, Number, Out, Site, Snapshot, TICK_INTERVAL};
-use ivydrift_leases::words::{Down, Up};
+use ivydrift_leases::message::{Down, Up};
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/ivydrift/src/result.rs
+++ b/crates/ivydrift/src/result.rs
@@ -6,7 +6,7 @@
 
 use ivydrift_audit::{Report, RULES};
 use ivydrift_standin::tally::Phase;
-use ivydrift_wire::desk::RolloutState;
+use ivydrift_wire::controller::RolloutState;
 use serde_json::{json, Value};
 
 /// The rollout's states over time, as the rollout controller recorded them.
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -14,14 +14,14 @@
 #![forbid(unsafe_code)]
 
 pub mod ledger;
+pub mod message;
 pub mod order;
-pub mod words;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ledger::Ledger;
-use words::{Down, Up};
+use message::{Down, Up};
 
 /// A marshal, by its index in the configuration.
 pub type Number = u16;
--- a/crates/leases/tests/laws.rs
+++ b/crates/leases/tests/laws.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use ivydrift_leases::words::{Down, Up};
+use ivydrift_leases::message::{Down, Up};
 use ivydrift_leases::{Number, Place, Tree, GRANT_TERM, TICK_INTERVAL};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/leases/tests/words.rs
+++ b/crates/leases/tests/words.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ivydrift_leases::words::{Down, Up};
+use ivydrift_leases::message::{Down, Up};
 use ivydrift_leases::{order::order, Number, Place, Tree, GRANT_TERM, TICK_INTERVAL};
 
 type GroupTree = Tree<(), ()>;
--- a/crates/marshal/benches/per_rpc.rs
+++ b/crates/marshal/benches/per_rpc.rs
@@ -5,7 +5,7 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use ivydrift_marshal::{Call, Command, Core, Input, Observation};
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 
--- a/crates/marshal/examples/node_list.rs
+++ b/crates/marshal/examples/node_list.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Command, Core, Input, Observation};
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::{self, Listed, State};
 use ivydrift_wire::orca::Metrics;
 
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -7,7 +7,7 @@
 
 use ivydrift_marshal::{Call, Command, Core, Id, Input, Observation, Output, Services};
 use ivydrift_terms::{Terms, EXAMPLE};
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -25,7 +25,7 @@
 use ivydrift_policy::port::*;
 use ivydrift_policy::Marshal;
 use ivydrift_terms::Terms;
-use ivydrift_wire::{desk, peer};
+use ivydrift_wire::{controller, peer};
 
 use directory::Directory;
 pub use directory::Rejected;
@@ -391,13 +391,13 @@
                 Action::Subscribe(false) | Action::Probe { .. } => {}
                 Action::Vote { verdict, stage, build } => {
                     let verdict = match verdict {
-                        Verdict::None => desk::Verdict::None,
-                        Verdict::On => desk::Verdict::On,
-                        Verdict::Hold => desk::Verdict::Hold,
-                        Verdict::Back => desk::Verdict::Back,
+                        Verdict::None => controller::Verdict::None,
+                        Verdict::On => controller::Verdict::On,
+                        Verdict::Hold => controller::Verdict::Hold,
+                        Verdict::Back => controller::Verdict::Back,
                     };
                     let (marshal, stage) = (self.terms.rollout.marshal as u32, stage as u32);
-                    commands.push(Command::Vote(desk::Vote { marshal, verdict, stage, build }));
+                    commands.push(Command::Vote(controller::Vote { marshal, verdict, stage, build }));
                 }
             }
         }
--- a/crates/marshal/src/messages.rs
+++ b/crates/marshal/src/messages.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::{Build, DiscoverySignal, Load, Outcome};
-use ivydrift_wire::{desk, list, orca};
+use ivydrift_wire::{controller, list, orca};
 
 /// Identifies an RPC. The I/O layer assigns it and never reuses one.
 pub type Id = u64;
@@ -80,9 +80,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ballot {
     /// A complete answer, with the current stage.
-    Answered(desk::VoteAnswer),
+    Answered(controller::VoteAnswer),
     /// The controller gave the status of the vote without the stage.
-    Refused(desk::Counted),
+    Refused(controller::Counted),
     /// The controller reported an error.
     Failed,
     /// No answer arrived. The vote may still have been counted.
@@ -112,7 +112,7 @@
     /// State of discovery, as seen by a call to it.
     Discovery(DiscoverySignal),
     /// An update from the rollout controller.
-    RolloutUpdate(&'a desk::News),
+    RolloutUpdate(&'a controller::News),
     /// The rollout controller's answer to this marshal's vote.
     VoteAnswered(Ballot),
     /// A datagram from another marshal.
@@ -171,7 +171,7 @@
     /// Send a datagram to the marshal with number `to`.
     Tell { to: usize, datagram: Vec<u8> },
     /// Send a vote to the rollout controller.
-    Vote(desk::Vote),
+    Vote(controller::Vote),
     /// Fetch the node list and stay subscribed to it.
     FollowMembership,
     /// Write a log line.
--- a/crates/marshal/src/rollout.rs
+++ b/crates/marshal/src/rollout.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::*;
-use ivydrift_wire::desk;
+use ivydrift_wire::controller;
 
 use crate::{Ballot, Core};
 
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy)]
 struct TimedStage {
-    stage: desk::Stage,
+    stage: controller::Stage,
     since: Duration,
 }
 
@@ -29,10 +29,10 @@
     /// withdrawal.
     fn progress(&self) -> (u32, u32, u32) {
         let phase = match self.stage.course {
-            desk::RolloutState::OnTrial => 0,
-            desk::RolloutState::Released => 1,
-            desk::RolloutState::GoingBack => 2,
-            desk::RolloutState::Withdrawn => 3,
+            controller::RolloutState::OnTrial => 0,
+            controller::RolloutState::Released => 1,
+            controller::RolloutState::GoingBack => 2,
+            controller::RolloutState::Withdrawn => 3,
         };
         (self.stage.build, phase, if phase == 0 { self.stage.stage } else { 0 })
     }
@@ -42,7 +42,7 @@
     /// Takes a status that was just read; returns the one in force and its age. A status that is behind in
     /// the build's rollout was overtaken on its way; accepting it would raise a cap that has been lowered.
     /// The reported ages alone do not show this, as each is too small by its transfer time.
-    fn update(&mut self, now: Duration, stage: &desk::Stage) -> (desk::Stage, Duration) {
+    fn update(&mut self, now: Duration, stage: &controller::Stage) -> (controller::Stage, Duration) {
         let new =
             TimedStage { stage: *stage, since: now.saturating_sub(Duration::from_millis(stage.age_ms)) };
         let overtaken =
@@ -54,7 +54,9 @@
 }
 
 impl Core {
-    pub(crate) fn apply_rollout_update(&mut self, now: Duration, news: &desk::News, events: &mut Vec<Event>) {
+    pub(crate) fn apply_rollout_update(
+        &mut self, now: Duration, news: &controller::News, events: &mut Vec<Event>,
+    ) {
         let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
         events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unsolicited)));
         let methods = &self.terms.methods;
@@ -84,7 +86,7 @@
             Ballot::Failed => reply_without_stage(VoteReply::Error),
             Ballot::Silent => reply_without_stage(VoteReply::Silent),
             // A counted vote comes with the status. Without it, neither is known.
-            Ballot::Refused(desk::Counted::Counts) => reply_without_stage(VoteReply::Silent),
+            Ballot::Refused(controller::Counted::Counts) => reply_without_stage(VoteReply::Silent),
             Ballot::Refused(counted) => reply_without_stage(vote_reply(counted)),
             Ballot::Answered(answer) => {
                 let (stage, age) = self.rollout_status.update(now, &answer.stage);
@@ -94,21 +96,21 @@
     }
 }
 
-fn vote_reply(counted: desk::Counted) -> VoteReply {
+fn vote_reply(counted: controller::Counted) -> VoteReply {
     match counted {
-        desk::Counted::Counts => VoteReply::Counts,
-        desk::Counted::Moot => VoteReply::Moot,
-        desk::Counted::Full => VoteReply::Full,
-        desk::Counted::Error => VoteReply::Error,
+        controller::Counted::Counts => VoteReply::Counts,
+        controller::Counted::Moot => VoteReply::Moot,
+        controller::Counted::Full => VoteReply::Full,
+        controller::Counted::Error => VoteReply::Error,
     }
 }
 
-fn stage_event(stage: &desk::Stage, age: Duration, reply: VoteReply) -> Event {
+fn stage_event(stage: &controller::Stage, age: Duration, reply: VoteReply) -> Event {
     let course = match stage.course {
-        desk::RolloutState::OnTrial => RolloutState::OnTrial,
-        desk::RolloutState::GoingBack => RolloutState::GoingBack,
-        desk::RolloutState::Released => RolloutState::Released,
-        desk::RolloutState::Withdrawn => RolloutState::Withdrawn,
+        controller::RolloutState::OnTrial => RolloutState::OnTrial,
+        controller::RolloutState::GoingBack => RolloutState::GoingBack,
+        controller::RolloutState::Released => RolloutState::Released,
+        controller::RolloutState::Withdrawn => RolloutState::Withdrawn,
     };
     Event::Stage {
         build: stage.build,
--- a/crates/marshal/src/services.rs
+++ b/crates/marshal/src/services.rs
@@ -225,7 +225,7 @@
         outputs
     }
 
-    /// Replaces the config while running, see [`Core::renew`]: of every service or, on error, of none.
+    /// Replaces the config while running, see [`Core::reconfigure`]: of every service or, on error, of none.
     /// Services that the new config no longer names are dropped once nothing of them is open.
     ///
     /// # Errors
--- a/crates/marshal/src/services/instance.rs
+++ b/crates/marshal/src/services/instance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::Repeat;
-use ivydrift_wire::desk::{RolloutState, Stage};
+use ivydrift_wire::controller::{RolloutState, Stage};
 
 use super::config_split::OnDemandConfig;
 use super::{DropReason, InstanceId, ServiceState};
--- a/crates/marshal/tests/discovery.rs
+++ b/crates/marshal/tests/discovery.rs
@@ -7,7 +7,7 @@
 
 use common::node;
 use ivydrift_marshal::{Command, Core, Input};
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::Listed;
 
 fn ms(n: u64) -> Duration {
--- a/crates/marshal/tests/rollout.rs
+++ b/crates/marshal/tests/rollout.rs
@@ -6,7 +6,7 @@
 
 use common::node;
 use ivydrift_marshal::{Ballot, Call, Command, Core, Input};
-use ivydrift_wire::desk::{Counted, News, RolloutState, Stage, VoteAnswer};
+use ivydrift_wire::controller::{Counted, News, RolloutState, Stage, VoteAnswer};
 use ivydrift_wire::list::{Listed, State};
 
 struct Harness {
--- a/crates/marshal/tests/services/harness.rs
+++ b/crates/marshal/tests/services/harness.rs
@@ -8,7 +8,7 @@
     Call, Command, DropReason, Id, Input, InstanceId, Observation, Output, Services, PRIMARY,
 };
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::Listed;
 use ivydrift_wire::orca::Metrics;
 
--- a/crates/measure/src/scale/bursts.rs
+++ b/crates/measure/src/scale/bursts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::*;
-use ivydrift_wire::desk::{self, Counted, Vote, VoteAnswer};
+use ivydrift_wire::controller::{self, Counted, Vote, VoteAnswer};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::list;
 use rand::rngs::StdRng;
@@ -45,20 +45,20 @@
 /// Encodes each message and returns its size.
 pub fn message_sizes() -> Sizes {
     let news = core_harness::released();
-    let stage = news.stage.unwrap_or(desk::Stage {
+    let stage = news.stage.unwrap_or(controller::Stage {
         build: 1,
         stage: 0,
-        course: desk::RolloutState::Released,
+        course: controller::RolloutState::Released,
         cap: 1.0,
         age_ms: 0,
     });
-    let vote = Vote { marshal: 3699, verdict: desk::Verdict::Back, stage: 0, build: 312 };
+    let vote = Vote { marshal: 3699, verdict: controller::Verdict::Back, stage: 0, build: 312 };
     Sizes {
         list_request: request_bytes("GET", &list::path("shop", 123_456, 10), 0),
         news_request: request_bytes("GET", "/v1/stage?index=123456&wait=5s&marshal=3699", 0),
-        news: desk::write(&news).len(),
-        vote: request_bytes("POST", "/v1/votes", desk::write(&vote).len()),
-        vote_answer: desk::write(&VoteAnswer { counted: Counted::Counts, stage }).len(),
+        news: controller::write(&news).len(),
+        vote: request_bytes("POST", "/v1/votes", controller::write(&vote).len()),
+        vote_answer: controller::write(&VoteAnswer { counted: Counted::Counts, stage }).len(),
     }
 }
 
--- a/crates/measure/src/scale/core_harness.rs
+++ b/crates/measure/src/scale/core_harness.rs
@@ -8,7 +8,7 @@
 
 use ivydrift_marshal::{Call, Command, Core, Id, Input, Observation};
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{News, RolloutState, Stage};
+use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
--- a/crates/measure/src/scale/hollow/marshal.rs
+++ b/crates/measure/src/scale/hollow/marshal.rs
@@ -5,7 +5,7 @@
 
 use ivydrift_marshal::{Ballot, Call, Command, Core, Id, Input, Observation};
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{self, Counted, Vote, VoteAnswer};
+use ivydrift_wire::controller::{self, Counted, Vote, VoteAnswer};
 use ivydrift_wire::list;
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
@@ -245,9 +245,9 @@
                 }
             }
             LocalEvent::NewsAnswered(answered_at) => {
-                let bytes = desk::write(&script.news(answered_at));
+                let bytes = controller::write(&script.news(answered_at));
                 let from = Instant::now();
-                let news = desk::read_news(&bytes);
+                let news = controller::read_news(&bytes);
                 let read_took = from.elapsed();
                 let Ok(news) = news else { return };
                 let took = self.handle_input(now, Input::RolloutUpdate(&news), script, effects);
@@ -298,12 +298,12 @@
 
     fn vote_answered(&mut self, now: Duration, _: Vote, script: &Script, effects: &mut Effects) {
         let answer = VoteAnswer { counted: Counted::Counts, stage: script.stage(now) };
-        let bytes = script::http_response(0, &desk::write(&answer)).len();
+        let bytes = script::http_response(0, &controller::write(&answer)).len();
         self.voting = false;
         let took = match self.next_vote.take() {
             Some(next) => {
                 let stage = Some(answer.stage);
-                let news = desk::News { index: 0, stage, sums: vec![], disputed: vec![] };
+                let news = controller::News { index: 0, stage, sums: vec![], disputed: vec![] };
                 self.send_vote(now, next, effects);
                 self.handle_input(now, Input::RolloutUpdate(&news), script, effects)
             }
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ivydrift_terms::Terms;
-use ivydrift_wire::desk::{ControllerCounts, News, RolloutState, Stage, Vote};
+use ivydrift_wire::controller::{ControllerCounts, News, RolloutState, Stage, Vote};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::list::{self, Listed, State};
 
@@ -240,7 +240,7 @@
 
 /// A vote to the rollout controller, with its body.
 pub fn vote_request(number: usize, vote: &Vote) -> Vec<u8> {
-    let body = ivydrift_wire::desk::write(vote);
+    let body = ivydrift_wire::controller::write(vote);
     [request_head("POST", "/v1/votes", number, body.len()), body].concat()
 }
 
--- a/crates/measure/src/scale/real/environment.rs
+++ b/crates/measure/src/scale/real/environment.rs
@@ -11,7 +11,7 @@
 
 use ivydrift_sockets::coroutine::{go, pause, pause_until};
 use ivydrift_sockets::Socket;
-use ivydrift_wire::desk::{self, Counted, VoteAnswer};
+use ivydrift_wire::controller::{self, Counted, VoteAnswer};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::{list, message, peer};
 use may::net::TcpListener;
@@ -116,9 +116,9 @@
 
     fn respond(&self, target: &str, body: &[u8]) -> (usize, Vec<u8>) {
         if target.starts_with("/v1/votes") {
-            let _vote = desk::read::<desk::Vote>(body);
+            let _vote = controller::read::<controller::Vote>(body);
             let answer = VoteAnswer { counted: Counted::Counts, stage: self.script.stage(self.now()) };
-            return (2, http_response(0, &desk::write(&answer)));
+            return (2, http_response(0, &controller::write(&answer)));
         }
         let index = list::query(target, "index").unwrap_or(0);
         let deadline = self.now() + Duration::from_secs(list::query(target, "wait").unwrap_or(0).min(60));
@@ -129,7 +129,7 @@
             if index == 0 || index != at || now >= deadline || self.stopped.load(Ordering::Acquire) {
                 let body = match is_node_list {
                     true => list::write(&self.script.list(now)),
-                    false => desk::write(&self.script.news(now)),
+                    false => controller::write(&self.script.news(now)),
                 };
                 return (usize::from(!is_node_list), http_response(at, &body));
             }
--- a/crates/measure/src/scale/tree/simulation.rs
+++ b/crates/measure/src/scale/tree/simulation.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ivydrift_commons::large::{Key, States, Word};
+use ivydrift_commons::large_state::{Key, States, Word};
 use ivydrift_wire::peer;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/controller.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use ivydrift_wire::desk::{ControllerCounts, Counted, RolloutState, Stage, Verdict, Vote};
+use ivydrift_wire::controller::{ControllerCounts, Counted, RolloutState, Stage, Verdict, Vote};
 use serde_json::Value;
 
 /// Line length limit in bytes; a line of this length or more closes the connection.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure parsing and formatting: no sockets, clocks or decisions.
 #![forbid(unsafe_code)]
 
-pub mod desk;
+pub mod controller;
 pub mod members;
 pub mod rpc;
 pub mod start;
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -6,12 +6,12 @@
 use ivydrift_facts::Facts;
 use ivydrift_policy::port::ListLeaseConfig;
 use ivydrift_terms::{Bounds, Places, Terms};
-use ivydrift_wire::desk::Stage;
+use ivydrift_wire::controller::Stage;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::{desk, members};
+use crate::{controller, members};
 
 /// Longest body of the platform's messages, in bytes.
 pub const BODY: usize = 64 * 1024;
@@ -72,7 +72,9 @@
     }
     let news = match &top["pipeline"]["news"] {
         Value::Null => None,
-        news => Some(desk::stage_from_json(news).map_err(|error| format!("{file}: pipeline.news: {error}"))?),
+        news => Some(
+            controller::stage_from_json(news).map_err(|error| format!("{file}: pipeline.news: {error}"))?,
+        ),
     };
     let Facts { terms: mut rollout, methods, tenants, zones, kinds, connect, .. } = facts;
     // The platform offers no channel between marshals.
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -5,7 +5,7 @@
 
 use ivydrift_audit::trace;
 use ivydrift_policy::port::{Group, MethodConfig, ReleaseConfig, Repeat, RuleConfig};
-use ivydrift_terms::sheet::{Complaints, Page, Sheet};
+use ivydrift_terms::hcl_reader::{Complaints, Page, Sheet};
 
 use crate::platform_stats::Sampling;
 
--- a/crates/standin/src/environment.rs
+++ b/crates/standin/src/environment.rs
@@ -7,7 +7,7 @@
 
 use ivydrift_audit::trace::{self, Kind as Answer, Line, Seen, State, Turn};
 use ivydrift_policy::port::{MethodConfig, Repeat};
-use ivydrift_wire::desk::{Counted, Disputed, News, RolloutState, Stage, Vote, VoteAnswer};
+use ivydrift_wire::controller::{Counted, Disputed, News, RolloutState, Stage, Vote, VoteAnswer};
 use ivydrift_wire::list::{self, Listed};
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
--- a/crates/standin/src/platform_stats.rs
+++ b/crates/standin/src/platform_stats.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use ivydrift_wire::desk::ControllerCounts;
+use ivydrift_wire::controller::ControllerCounts;
 
 /// How the platform samples picks.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/standin/src/rollout.rs
+++ b/crates/standin/src/rollout.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::ReleaseConfig;
-use ivydrift_wire::desk::{Counted, RolloutState, Stage, Verdict, Vote};
+use ivydrift_wire::controller::{Counted, RolloutState, Stage, Verdict, Vote};
 
 /// A change that the controller requests of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -8,7 +8,7 @@
 use ivydrift_audit::trace::{Kind as Answer, Line};
 use ivydrift_audit::{Auditor, Report};
 use ivydrift_marshal::{Ballot, Call, Command as MarshalCommand, Core, Counts, Id, Input, Observation};
-use ivydrift_wire::desk::{News, Vote};
+use ivydrift_wire::controller::{News, Vote};
 use ivydrift_wire::list::Listed;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/standin/src/tally.rs
+++ b/crates/standin/src/tally.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 use ivydrift_audit::trace::Kind;
-use ivydrift_wire::desk::Verdict;
+use ivydrift_wire::controller::Verdict;
 
 use crate::rollout::Standing;
 
--- a/crates/standin/tests/days.rs
+++ b/crates/standin/tests/days.rs
@@ -4,7 +4,7 @@
 
 use ivydrift_standin::day::{self, Day, FaultKind, InjectedFault};
 use ivydrift_standin::sim::{self, Outcome};
-use ivydrift_wire::desk::RolloutState;
+use ivydrift_wire::controller::RolloutState;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -5,18 +5,18 @@
 #[cfg(test)]
 mod tests;
 
+pub mod hcl_reader;
 mod names;
 pub mod services;
-pub mod sheet;
 mod subset;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use hcl_reader::{Complaints, Page, Sheet};
 use ivydrift_policy::port::*;
 pub use names::Names;
-use sheet::{Complaints, Page, Sheet};
 pub use subset::SubsetTerms;
 
 /// An example config: a single marshal that uses the default addresses of the simulated services.
--- a/crates/terms/src/services.rs
+++ b/crates/terms/src/services.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::sheet::Sheet;
+use crate::hcl_reader::Sheet;
 
 /// Maximum length of a service name, which is part of the path and query of requests to the node list and the rollout
 /// controller.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,8 +2,8 @@
 //! and the plain types they map to. No sockets and no clocks; `docs/protocol.md` has the grammar and the limits.
 #![forbid(unsafe_code)]
 
-pub mod body;
-pub mod desk;
+pub mod body_framing;
+pub mod controller;
 pub mod http;
 pub mod list;
 pub mod message;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, ErrorKind};
 
-use crate::body::{Part, Walk};
+use crate::body_framing::{Part, Walk};
 use crate::http::{self, Framing, Parsed, Request, Response};
 
 /// Reads a request. `read_more` appends bytes to the buffer and returns false at the end of the stream. Bytes after the
