--- a/crates/edge/src/clients/caller.rs
+++ b/crates/edge/src/clients/caller.rs
@@ -78,7 +78,7 @@
                         self.report_body_read(Duration::ZERO);
                     }
                     self.remaining.streamed += n as u64;
-                    if self.remaining.buffered + self.remaining.streamed > self.edge.bounds().longest_body {
+                    if self.remaining.buffered + self.remaining.streamed > self.edge.limits().max_body_bytes {
                         return self.stop(ReadError::Refused(TOO_LONG));
                     }
                     break BodyRead::Data(self.buf.drain(..n).collect());
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -131,7 +131,7 @@
                     }
                     Err(refusal) => return self.refuse(refusal),
                 };
-            let deadline = first_byte_at + self.edge.bounds().slow_client;
+            let deadline = first_byte_at + self.edge.limits().message_timeout;
             let remaining = RemainingBody {
                 walk,
                 deadline,
@@ -165,13 +165,14 @@
 
     /// Reads the next request head and the time its first byte arrived.
     fn read_head(&mut self) -> Result<(Request, Instant), ReadError> {
-        let bounds = self.edge.bounds();
-        let first_message_by = bounds.first_message.filter(|_| self.client.in_state(ConnectionState::New));
+        let limits = self.edge.limits();
+        let first_message_by =
+            limits.first_message_timeout.filter(|_| self.client.in_state(ConnectionState::New));
         let first_message_by = first_message_by.map(|within| self.client.accepted_at + within);
         let limit = |deadline: Instant| {
             first_message_by.map_or(deadline, |first_message_by| deadline.min(first_message_by))
         };
-        let mut deadline = limit(Instant::now() + bounds.idle_client);
+        let mut deadline = limit(Instant::now() + limits.client_idle_timeout);
         let mut first_byte_at = None;
         loop {
             // Empty lines before a request line are ignored (RFC 9112, section 2.2).
@@ -183,7 +184,7 @@
                     return Err(ReadError::Closed);
                 }
                 first_byte_at = Some(Instant::now());
-                deadline = limit(Instant::now() + bounds.slow_client);
+                deadline = limit(Instant::now() + limits.message_timeout);
             }
             match http::request(&self.buf) {
                 Ok(Some((request, used))) => {
@@ -207,8 +208,8 @@
     fn read_body_prefix(
         &mut self, request: &Request, first_byte_at: Instant,
     ) -> Result<(Vec<u8>, Walk), ReadError> {
-        let bounds = self.edge.bounds();
-        if matches!(request.framing, Framing::Length(n) if n > bounds.longest_body) {
+        let limits = self.edge.limits();
+        if matches!(request.framing, Framing::Length(n) if n > limits.max_body_bytes) {
             return Err(ReadError::Refused(TOO_LONG));
         }
         let (mut walk, mut body) = (Walk::new(request.framing), Vec::new());
@@ -218,15 +219,15 @@
                 return Err(ReadError::Closed);
             }
         }
-        let deadline = first_byte_at + bounds.slow_client;
+        let deadline = first_byte_at + limits.message_timeout;
         loop {
             match walk.step(&self.buf) {
                 Ok(Part::Data(n)) => {
                     body.extend(self.buf.drain(..n));
-                    if body.len() as u64 > bounds.longest_body {
+                    if body.len() as u64 > limits.max_body_bytes {
                         return Err(ReadError::Refused(TOO_LONG));
                     }
-                    if body.len() > bounds.body && !walk.ended() {
+                    if body.len() > limits.buffered_body_bytes && !walk.ended() {
                         return Ok((body, walk));
                     }
                 }
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -52,7 +52,8 @@
                 Command::Pick { pick, node, by, careful, .. } => {
                     client.begin_pick(id, pick);
                     let deadline = edge.instant(by);
-                    let (connect_timeout, pool, dialect) = (edge.bounds().connect, &edge.pool, &edge.dialect);
+                    let (connect_timeout, pool, dialect) =
+                        (edge.limits().connect_timeout, &edge.pool, &edge.dialect);
                     let admission = Attempt { edge, id, node, deadline };
                     let attempt = Pick {
                         node,
--- a/crates/edge/src/command.rs
+++ b/crates/edge/src/command.rs
@@ -40,7 +40,7 @@
 
 /// A config file that was read, in the format of either dialect.
 enum ConfigFile {
-    Native(Box<ivydrift_terms::Terms>),
+    Native(Box<ivydrift_terms::Config>),
     Platform(Box<start::Start>),
 }
 
@@ -51,20 +51,20 @@
         if platform {
             return start::read(&name, &text).map(|start| ConfigFile::Platform(Box::new(start)));
         }
-        let terms = ivydrift_terms::read(&name, &text).map_err(|errors| errors.to_string())?;
-        Ok(ConfigFile::Native(Box::new(terms)))
+        let config = ivydrift_terms::parse(&name, &text).map_err(|errors| errors.to_string())?;
+        Ok(ConfigFile::Native(Box::new(config)))
     }
 
     fn apply(self, running: &crate::Running) -> Result<(), String> {
         match self {
-            ConfigFile::Native(terms) => running.renew(*terms),
+            ConfigFile::Native(config) => running.renew(*config),
             ConfigFile::Platform(start) => running.renew_on_platform(*start),
         }
     }
 
     fn start(self) -> std::io::Result<crate::Running> {
         match self {
-            ConfigFile::Native(terms) => crate::start(*terms),
+            ConfigFile::Native(config) => crate::start(*config),
             ConfigFile::Platform(start) => crate::start_on_platform(*start),
         }
     }
@@ -104,8 +104,8 @@
         };
         log_to_stderr();
         let listen_addr = match &config {
-            ConfigFile::Native(terms) => terms.places.listen,
-            ConfigFile::Platform(start) => start.terms.places.listen,
+            ConfigFile::Native(config) => config.addresses.listen,
+            ConfigFile::Platform(start) => start.config.addresses.listen,
         };
         // Signal handlers are installed before the start so that no signal is lost.
         let mut signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -33,7 +33,7 @@
     Command, Counts, Id, Input, InstanceId, Observation, Output, Repeat, Services, PRIMARY,
 };
 use ivydrift_sockets::{Listener, Waker};
-use ivydrift_terms::{Bounds, Names, Places, Terms};
+use ivydrift_terms::{Addresses, Config, Limits, Names};
 use ivydrift_wire::peer;
 use may::net::UdpSocket;
 
@@ -110,8 +110,8 @@
 /// Settings that a config reload may change.
 #[derive(Clone)]
 struct Settings {
-    bounds: Bounds,
-    places: Arc<Places>,
+    limits: Limits,
+    addresses: Arc<Addresses>,
     vote_wait: Duration,
     /// The longest deadline of a method.
     longest_deadline: Duration,
@@ -121,15 +121,15 @@
 }
 
 impl Settings {
-    fn of(terms: &Terms) -> Self {
-        let repeatable = terms.rollout.methods.iter().map(|m| m.repeat != Repeat::NonIdempotent);
+    fn of(config: &Config) -> Self {
+        let repeatable = config.rollout.methods.iter().map(|m| m.repeat != Repeat::NonIdempotent);
         Settings {
-            methods: terms.methods.clone(),
+            methods: config.methods.clone(),
             repeatable: Arc::new(repeatable.collect()),
-            bounds: terms.bounds,
-            places: Arc::new(terms.places.clone()),
-            vote_wait: terms.rollout.release.vote_wait,
-            longest_deadline: terms.rollout.methods.iter().map(|m| m.deadline).max().unwrap_or_default(),
+            limits: config.limits,
+            addresses: Arc::new(config.addresses.clone()),
+            vote_wait: config.rollout.release.vote_wait,
+            longest_deadline: config.rollout.methods.iter().map(|m| m.deadline).max().unwrap_or_default(),
         }
     }
 }
@@ -150,8 +150,8 @@
         self.settings.lock().unwrap().clone()
     }
 
-    fn bounds(&self) -> Bounds {
-        self.settings.lock().unwrap().bounds
+    fn limits(&self) -> Limits {
+        self.settings.lock().unwrap().limits
     }
 
     fn next_rpc_id(&self) -> Id {
@@ -171,7 +171,7 @@
     fn is_ready(&self) -> bool {
         let waited = |latest| self.started.elapsed() >= latest;
         let list_usable = self.ready_nodes() > 0 && (self.list_is_fresh() || waited(READY_UNCONFIRMED_AFTER));
-        list_usable || self.bounds().ready_latest.is_some_and(waited)
+        list_usable || self.limits().max_ready_delay.is_some_and(waited)
     }
 
     /// Whether the node list of `places.service` is fresh enough to send new work by.
@@ -244,7 +244,8 @@
                 }
                 Command::CloseIdle { node } => self.pool.close_node(node),
                 Command::Tell { to, datagram } => {
-                    if let (Some(socket), Some(addr)) = (&self.peers, self.settings().places.peers.get(to)) {
+                    if let (Some(socket), Some(addr)) = (&self.peers, self.settings().addresses.peers.get(to))
+                    {
                         // Losing a datagram does no harm; waiting would.
                         let _ = socket.inner().send_to(&datagram, addr);
                     }
@@ -280,7 +281,7 @@
     /// Registers a client connection and returns its id, or `None` if there are too many connections.
     fn register(&self, client: &Arc<Client>) -> Option<u64> {
         let mut clients = self.clients.lock().unwrap();
-        if clients.len() >= self.bounds().crowd {
+        if clients.len() >= self.limits().close_after_answer_above {
             self.evict_client(&mut clients);
         }
         let has_room = !self.over_limits(clients.len() + 1) || self.evict_client(&mut clients);
@@ -295,16 +296,16 @@
 
     /// Whether there are so many clients that each connection should close after its answer.
     fn is_crowded(&self) -> bool {
-        self.client_count.load(Ordering::Relaxed) >= self.bounds().crowd
+        self.client_count.load(Ordering::Relaxed) >= self.limits().close_after_answer_above
     }
 
     /// Whether this many client connections, or the descriptors they need, exceed the limits. An RPC in
     /// progress may need one more descriptor for its node.
     fn over_limits(&self, clients: usize) -> bool {
-        let bounds = self.bounds();
+        let limits = self.limits();
         let in_progress = self.in_progress.lock().unwrap().len();
-        let wanted = clients + in_progress + bounds.idle_to_nodes.min(1 << 20) + RESERVED_DESCRIPTORS;
-        clients > bounds.clients || bounds.descriptors.is_some_and(|most| wanted > most)
+        let wanted = clients + in_progress + limits.max_idle_total.min(1 << 20) + RESERVED_DESCRIPTORS;
+        clients > limits.max_clients || limits.max_descriptors.is_some_and(|most| wanted > most)
     }
 
     /// Closes the least valuable client connection to free a slot. Returns false if each has a message in
@@ -325,7 +326,8 @@
     /// Milliseconds over which clients should spread their reconnects if this marshal goes away, because a
     /// client cannot know how many others there are. `None` if all may reconnect at once.
     fn spread_ms(&self) -> Option<u64> {
-        let ms = self.client_count.load(Ordering::Relaxed) as u64 * 1000 / self.bounds().handshakes as u64;
+        let ms =
+            self.client_count.load(Ordering::Relaxed) as u64 * 1000 / self.limits().handshakes_per_s as u64;
         Some(ms).filter(|&ms| ms >= 250)
     }
 
@@ -436,14 +438,14 @@
 }
 
 /// Binds the addresses and sets up a marshal's state; no coroutine runs yet.
-fn set_up(terms: Terms, dialect: Dialect) -> io::Result<(Arc<Edge>, Listener)> {
-    coroutine::prepare(terms.bounds.workers);
-    let listener = listen(terms.places.listen)?;
-    let peers = match terms.places.peers.get(terms.rollout.marshal) {
+fn set_up(config: Config, dialect: Dialect) -> io::Result<(Arc<Edge>, Listener)> {
+    coroutine::prepare(config.limits.worker_threads);
+    let listener = listen(config.addresses.listen)?;
+    let peers = match config.addresses.peers.get(config.rollout.marshal) {
         Some(own) => Some(UdpSocket::bind(own)?),
         None => None,
     };
-    let mut core = Services::new(terms.clone(), unix_zero_ms(CLOCK_OFFSET));
+    let mut core = Services::new(config.clone(), unix_zero_ms(CLOCK_OFFSET));
     if peers.is_some() {
         core.set_program(executable::identity());
     }
@@ -455,13 +457,13 @@
         open_connections: AtomicUsize::new(0),
         next_client_id: AtomicU64::new(0),
         accepting: AtomicBool::new(true),
-        pool: Pool::new(&terms.bounds, terms.rollout.limits.idle_timeout),
+        pool: Pool::new(&config.limits, config.rollout.limits.idle_timeout),
         guard: guard::Guard::default(),
-        settings: Mutex::new(Settings::of(&terms)),
+        settings: Mutex::new(Settings::of(&config)),
         address_generation: AtomicU64::new(0),
         address_lock: Mutex::default(),
-        marshal: terms.rollout.marshal,
-        via: format!("1.1 ivydrift-{}", terms.rollout.marshal),
+        marshal: config.rollout.marshal,
+        via: format!("1.1 ivydrift-{}", config.rollout.marshal),
         peers,
         started: Instant::now(),
         last_rpc_id: AtomicU64::new(0),
@@ -480,7 +482,7 @@
 /// Returns the listening address and the accept loop's waker.
 fn run(edge: &Arc<Edge>, listener: Listener) -> (SocketAddr, Waker) {
     let waker = listener.waker();
-    let listens = listener.local_addr().unwrap_or_else(|_| edge.settings().places.listen);
+    let listens = listener.local_addr().unwrap_or_else(|_| edge.settings().addresses.listen);
     watch::watch_controller(edge, &edge.primary);
     start_timers(edge);
     start_peer_receiver(edge);
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -74,10 +74,10 @@
     let edge = edge.clone();
     go(move || {
         let Some(platform) = edge.dialect.platform() else { return };
-        let client = QueryClient::new(edge.settings().places.node_list, edge.marshal);
+        let client = QueryClient::new(edge.settings().addresses.node_list, edge.marshal);
         let mut watch =
             Watch { edge: &edge, platform, claim: &claim, client, continues_watch: false, retried: false };
-        while claim.extend(edge.bounds().list_hold + QUEUE_WAIT + STUCK_AFTER) {
+        while claim.extend(edge.limits().list_query_wait + QUEUE_WAIT + STUCK_AFTER) {
             match watch.step(address_generation) {
                 None => return,
                 Some(AfterFailure::Retry) => {}
@@ -124,7 +124,7 @@
     /// Makes one call.
     fn call(&mut self) -> (Call, Result<Vec<u8>, QueryError>) {
         let continued = self.continues_watch;
-        let max_hold = self.edge.bounds().list_hold;
+        let max_hold = self.edge.limits().list_query_wait;
         let hold = if continued { max_hold } else { max_hold.min(OPENING_HOLD) };
         let slack = if continued { CONTINUED_SLACK } else { QUEUE_WAIT };
         let path = self.platform.catalog.lock().unwrap().path(hold.as_millis() as u64);
@@ -155,7 +155,7 @@
         let started = self.edge.now().saturating_sub(call.started.elapsed());
         let as_of =
             if self.edge.recently_stalled() { started } else { self.edge.now().min(started + call.hold) };
-        let next_within = self.edge.bounds().list_hold + CONTINUED_SLACK;
+        let next_within = self.edge.limits().list_query_wait + CONTINUED_SLACK;
         self.edge.dispatch(Input::Discovery(DiscoverySignal::Confirmed { as_of, next_within }), 0);
     }
 
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -120,8 +120,9 @@
 pub fn send_vote(edge: &Edge, vote: &Vote) -> Ballot {
     let settings = edge.settings();
     let deadline = Instant::now() + settings.vote_wait;
-    let answer = ControllerConnection::open(settings.places.release_desk, &controller::vote(vote), deadline)
-        .and_then(|mut connection| connection.next(deadline));
+    let answer =
+        ControllerConnection::open(settings.addresses.rollout_controller, &controller::vote(vote), deadline)
+            .and_then(|mut connection| connection.next(deadline));
     match answer {
         Ok(Line::Done(Some(stage))) => Ballot::Answered(VoteAnswer { counted: Counted::Counts, stage }),
         Ok(Line::Refused(counted)) => Ballot::Refused(counted),
--- a/crates/edge/src/pool/mod.rs
+++ b/crates/edge/src/pool/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_sockets::Socket;
-use ivydrift_terms::Bounds;
+use ivydrift_terms::Limits;
 
 /// An RPC that must not run twice only reuses a connection that was idle for less than this: a node or a
 /// middlebox may have dropped an older one without notice.
@@ -36,7 +36,7 @@
     /// How long nodes keep an idle connection open, in milliseconds.
     idle_timeout_ms: AtomicU64,
     /// How long a connection must be idle before it is reused, in microseconds.
-    settle_us: AtomicU64,
+    reuse_delay_us: AtomicU64,
     idle: Mutex<HashMap<SocketAddr, IdleStack>>,
     /// When a node's connections were last closed. A connection that was in use at that time must not return
     /// to the pool.
@@ -46,27 +46,27 @@
 // The std lock is never held across a yield: nothing under it blocks.
 impl Pool {
     /// An empty pool; `idle_timeout` is how long nodes keep an idle connection open.
-    pub fn new(bounds: &Bounds, idle_timeout: Duration) -> Self {
+    pub fn new(limits: &Limits, idle_timeout: Duration) -> Self {
         let new_limit = || AtomicUsize::new(0);
         let (idle, closed) = (Mutex::default(), Mutex::default());
-        let (idle_timeout_ms, settle_us) = (AtomicU64::new(0), AtomicU64::new(0));
+        let (idle_timeout_ms, reuse_delay_us) = (AtomicU64::new(0), AtomicU64::new(0));
         let pool = Pool {
             max_per_node: new_limit(),
             max_total: new_limit(),
             idle_timeout_ms,
-            settle_us,
+            reuse_delay_us,
             idle,
             closed,
         };
-        pool.set_limits(bounds, idle_timeout);
+        pool.set_limits(limits, idle_timeout);
         pool
     }
 
     /// Changes the limits. Connections above them are closed when they are next checked.
-    pub fn set_limits(&self, bounds: &Bounds, idle_timeout: Duration) {
-        self.max_per_node.store(bounds.idle_to_node, Ordering::Relaxed);
-        self.max_total.store(bounds.idle_to_nodes, Ordering::Relaxed);
-        self.settle_us.store(bounds.settle.as_micros() as u64, Ordering::Relaxed);
+    pub fn set_limits(&self, limits: &Limits, idle_timeout: Duration) {
+        self.max_per_node.store(limits.max_idle_per_node, Ordering::Relaxed);
+        self.max_total.store(limits.max_idle_total, Ordering::Relaxed);
+        self.reuse_delay_us.store(limits.reuse_delay.as_micros() as u64, Ordering::Relaxed);
         self.idle_timeout_ms.store(idle_timeout.as_millis() as u64, Ordering::Relaxed);
     }
 
@@ -78,12 +78,13 @@
 
     /// Takes the most recently used connection that is alive and has been idle for the settle time.
     pub fn take(&self, node: SocketAddr, careful: bool, now: Instant) -> Option<Socket> {
-        let settle = Duration::from_micros(self.settle_us.load(Ordering::Relaxed));
+        let reuse_delay = Duration::from_micros(self.reuse_delay_us.load(Ordering::Relaxed));
         loop {
             let (idle_for, socket) = {
                 let mut idle = self.idle.lock().unwrap();
                 let stack = idle.get_mut(&node)?;
-                let at = stack.iter().rposition(|(at, _)| now.saturating_duration_since(*at) >= settle)?;
+                let at =
+                    stack.iter().rposition(|(at, _)| now.saturating_duration_since(*at) >= reuse_delay)?;
                 let idle_for = now.saturating_duration_since(stack[at].0);
                 if careful && idle_for >= FRESH_IDLE {
                     return None;
--- a/crates/edge/src/pool/tests.rs
+++ b/crates/edge/src/pool/tests.rs
@@ -24,9 +24,14 @@
 const SETTLED: Duration = Duration::from_millis(20);
 
 fn pool(max_per_node: usize, max_total: usize, idle_timeout: Duration) -> Pool {
-    let bounds = Bounds::by_descriptors(256, 1, Duration::ZERO);
+    let limits = Limits::by_descriptors(256, 1, Duration::ZERO);
     Pool::new(
-        &Bounds { idle_to_node: max_per_node, idle_to_nodes: max_total, settle: SETTLED, ..bounds },
+        &Limits {
+            max_idle_per_node: max_per_node,
+            max_idle_total: max_total,
+            reuse_delay: SETTLED,
+            ..limits
+        },
         idle_timeout,
     )
 }
--- a/crates/edge/src/races.rs
+++ b/crates/edge/src/races.rs
@@ -26,11 +26,11 @@
     Duration::from_millis(n)
 }
 
-fn edge(change: impl FnOnce(&mut ivydrift_terms::Terms), dialect: Dialect) -> (Arc<Edge>, Listener) {
+fn edge(change: impl FnOnce(&mut ivydrift_terms::Config), dialect: Dialect) -> (Arc<Edge>, Listener) {
     let text = ivydrift_terms::EXAMPLE.replace("127.0.0.1:7100", "127.0.0.1:0");
-    let mut terms = ivydrift_terms::read("test.hcl", &text).unwrap();
-    change(&mut terms);
-    set_up(terms, dialect).unwrap()
+    let mut config = ivydrift_terms::parse("test.hcl", &text).unwrap();
+    change(&mut config);
+    set_up(config, dialect).unwrap()
 }
 
 /// A discovery entry for a node of build 1.
@@ -325,7 +325,7 @@
 
 fn on_platform(controller_addr: SocketAddr) -> Arc<Edge> {
     let platform = Dialect::Platform(dialect::Platform::default());
-    edge(|terms| terms.places.release_desk = controller_addr, platform).0
+    edge(|config| config.addresses.rollout_controller = controller_addr, platform).0
 }
 
 fn read_line(stream: &mut TcpStream) -> String {
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -9,7 +9,7 @@
 use ivydrift_marshal::{Counts, DiscoverySignal, Input};
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::start::Start;
-use ivydrift_terms::{Places, Terms};
+use ivydrift_terms::{Addresses, Config};
 use ivydrift_wire::controller::News;
 
 use crate::dialect::{self, Dialect};
@@ -37,8 +37,8 @@
 ///
 /// # Errors
 /// If one of its addresses cannot be bound.
-pub fn start(terms: Terms) -> io::Result<Running> {
-    let (edge, listener) = set_up(terms, Dialect::Native)?;
+pub fn start(config: Config) -> io::Result<Running> {
+    let (edge, listener) = set_up(config, Dialect::Native)?;
     Ok(Running::begin(edge, listener))
 }
 
@@ -47,8 +47,8 @@
 /// # Errors
 /// If its address cannot be bound.
 pub fn start_on_platform(start: Start) -> io::Result<Running> {
-    let (known_nodes, terms) = (start.known.listed(), start.terms);
-    let (edge, listener) = set_up(terms, Dialect::Platform(dialect::Platform::new(start.known)))?;
+    let (known_nodes, config) = (start.known.listed(), start.config);
+    let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(start.known)))?;
     // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = start.news {
         let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
@@ -77,8 +77,8 @@
     ///
     /// # Errors
     /// Names what cannot change in a running marshal; the earlier config stays in force.
-    pub fn renew(&self, terms: Terms) -> Result<(), String> {
-        self.reload(terms, None)
+    pub fn renew(&self, config: Config) -> Result<(), String> {
+        self.reload(config, None)
     }
 
     /// Like [`Running::renew`], from the contents of the platform's file.
@@ -86,19 +86,21 @@
     /// # Errors
     /// As for [`Running::renew`].
     pub fn renew_on_platform(&self, start: Start) -> Result<(), String> {
-        self.reload(start.terms, Some(&start.known))
+        self.reload(start.config, Some(&start.known))
     }
 
-    fn reload(&self, terms: Terms, known_nodes: Option<&Catalog>) -> Result<(), String> {
-        let (edge, new, limits) = (&self.edge, Settings::of(&terms), terms.rollout.limits);
-        edge.core.lock().unwrap().reconfigure(terms)?;
-        edge.pool.set_limits(&new.bounds, limits.idle_timeout);
+    fn reload(&self, config: Config, known_nodes: Option<&Catalog>) -> Result<(), String> {
+        let (edge, new, limits) = (&self.edge, Settings::of(&config), config.rollout.limits);
+        edge.core.lock().unwrap().reconfigure(config)?;
+        edge.pool.set_limits(&new.limits, limits.idle_timeout);
         // An RPC accepted under the earlier config may need its longer deadline.
         let old = edge.settings();
         let longest_deadline = old.longest_deadline.max(new.longest_deadline);
         *edge.settings.lock().unwrap() = Settings { longest_deadline, ..new.clone() };
-        let list = |p: &Places| (p.node_list, p.service.clone());
-        if list(&old.places) != list(&new.places) || old.places.release_desk != new.places.release_desk {
+        let list = |p: &Addresses| (p.node_list, p.service.clone());
+        if list(&old.addresses) != list(&new.addresses)
+            || old.addresses.rollout_controller != new.addresses.rollout_controller
+        {
             edge.change_addresses(|| {
                 if let (Some(platform), Some(known_nodes)) = (edge.dialect.platform(), known_nodes) {
                     platform.catalog.lock().unwrap().moved(known_nodes);
@@ -130,7 +132,7 @@
         self.edge.shutdown_begun.store(true, Ordering::Release);
         self.edge.dispatch(Input::ShuttingDown, 0);
         // Clients that still connect are served and told to close.
-        std::thread::sleep(self.edge.bounds().linger);
+        std::thread::sleep(self.edge.limits().accept_after_stop);
         self.edge.closing.store(true, Ordering::Release);
         self.waker.wake();
         let deadline = Instant::now() + self.edge.settings().longest_deadline + Duration::from_millis(200);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -24,7 +24,7 @@
 /// list is already being watched.
 pub fn watch_node_list(edge: &Arc<Edge>, held: &Arc<HeldService>) {
     let address_generation = edge.address_generation.load(Ordering::Acquire);
-    let hold = edge.bounds().list_hold;
+    let hold = edge.limits().list_query_wait;
     let Some(claim) = held.claim(address_generation, hold + QUERY_SLACK + STUCK_AFTER) else { return };
     if edge.dialect.platform().is_some() {
         return membership::watch(edge, claim, address_generation);
@@ -46,12 +46,12 @@
 fn watch_native(
     edge: &Arc<Edge>, held: &Arc<HeldService>, claim: &WatchClaim, address_generation: u64,
 ) -> Option<String> {
-    let places = edge.settings().places;
-    let service = held.service.as_deref().unwrap_or(&places.service);
-    let mut client = QueryClient::with_handle(&held.discovery_query, places.node_list, edge.marshal);
+    let addresses = edge.settings().addresses;
+    let service = held.service.as_deref().unwrap_or(&addresses.service);
+    let mut client = QueryClient::with_handle(&held.discovery_query, addresses.node_list, edge.marshal);
     let mut index = 0;
     loop {
-        let hold = edge.bounds().list_hold;
+        let hold = edge.limits().list_query_wait;
         if !claim.extend(hold + QUERY_SLACK + STUCK_AFTER) {
             return None;
         }
@@ -94,7 +94,7 @@
     // Read here rather than in the coroutine: after two moves in a row, both coroutines would watch the
     // second address.
     let (address_generation, controller_addr) =
-        (edge.address_generation.load(Ordering::Acquire), edge.settings().places.release_desk);
+        (edge.address_generation.load(Ordering::Acquire), edge.settings().addresses.rollout_controller);
     if edge.dialect.platform().is_some() {
         return platform::watch_controller(edge, address_generation, controller_addr);
     }
@@ -193,7 +193,7 @@
     let service = held.service.as_deref().map(str::to_owned);
     let body = controller::write(&controller::ServiceVote { vote: *vote, service });
     let settings = edge.settings();
-    let mut client = QueryClient::new(settings.places.release_desk, edge.marshal);
+    let mut client = QueryClient::new(settings.addresses.rollout_controller, edge.marshal);
     let answer = client.send("POST", "/v1/votes", &body, controller::NEWS_BYTES, settings.vote_wait);
     match answer {
         Ok(reply) => match controller::read_vote_answer(&reply.body) {
--- a/crates/ivydrift/src/main.rs
+++ b/crates/ivydrift/src/main.rs
@@ -83,7 +83,7 @@
     };
     let checked = match day {
         true => ivydrift_standin::day::read(&name, &text).map(drop),
-        false => ivydrift_terms::read(&name, &text).map(drop),
+        false => ivydrift_terms::parse(&name, &text).map(drop),
     };
     match checked {
         Ok(()) => {
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Command, Core, Id, Input, Observation, Output, Services};
-use ivydrift_terms::{Terms, EXAMPLE};
+use ivydrift_terms::{Config, EXAMPLE};
 use ivydrift_wire::controller::{News, RolloutState, Stage};
 use ivydrift_wire::list::{Listed, State};
 use ivydrift_wire::orca::Metrics;
@@ -42,18 +42,18 @@
     (0..METHODS).map(method).collect()
 }
 
-fn terms(count: usize) -> Terms {
+fn config(count: usize) -> Config {
     let all: String = (0..count).map(|n| methods(&format!("s{n}"))).collect();
     let block = "services {\n  most = 2700\n  rest = \"2m\"\n  kib = 262144\n}\n";
-    ivydrift_terms::read("services.hcl", &format!("{EXAMPLE}\n{all}{block}")).unwrap()
+    ivydrift_terms::parse("services.hcl", &format!("{EXAMPLE}\n{all}{block}")).unwrap()
 }
 
-fn single_service_terms(service: usize) -> Terms {
+fn single_service_config(service: usize) -> Config {
     let name = format!("s{service}");
     let text = EXAMPLE.replace("\"calendar\"", &format!("\"{name}\""));
     let prefix = text.split("method \"").next().unwrap().to_owned();
     let rest = &text[text.find("release {").unwrap()..];
-    ivydrift_terms::read("one.hcl", &format!("{prefix}{}{rest}", methods(&name))).unwrap()
+    ivydrift_terms::parse("one.hcl", &format!("{prefix}{}{rest}", methods(&name))).unwrap()
 }
 
 enum Variant {
@@ -176,8 +176,8 @@
     let count: usize = count.parse().expect("COUNT must be a number");
     let before = resident_kib();
     let variant = match &kind[..] {
-        "cores" => Variant::Cores((0..count).map(|n| Core::new(single_service_terms(n), 0)).collect()),
-        _ => Variant::Services(Box::new(Services::new(terms(count), 0))),
+        "cores" => Variant::Cores((0..count).map(|n| Core::new(single_service_config(n), 0)).collect()),
+        _ => Variant::Services(Box::new(Services::new(config(count), 0))),
     };
     let (now, cpu_time) = (Duration::from_secs(86_400), Duration::ZERO);
     let mut run = Run { variant, now, ticks: 0, cpu_time, ok: 0, next: 0 };
--- a/crates/marshal/src/config_update.rs
+++ b/crates/marshal/src/config_update.rs
@@ -1,7 +1,7 @@
 //! Replaces the config of a running marshal.
 
 use ivydrift_policy::port::*;
-use ivydrift_terms::{Names, Terms};
+use ivydrift_terms::{Config, Names};
 
 use crate::Core;
 
@@ -16,7 +16,7 @@
 
 /// All known names, the earlier ones first, and for each the value that `new` gives it, if any.
 fn merge_names<T>(known: &Names, new: &Names, values: Vec<T>) -> (Names, Vec<Option<T>>) {
-    let (names, positions) = known.with(new);
+    let (names, positions) = known.merged(new);
     let mut merged: Vec<Option<T>> = names.iter().map(|_| None).collect();
     positions.into_iter().zip(values).for_each(|(at, value)| merged[at] = Some(value));
     (names, merged)
@@ -34,24 +34,24 @@
     ///
     /// # Errors
     /// Names the setting that cannot change without a restart; then nothing has changed.
-    pub fn reconfigure(&mut self, mut new: Terms) -> Result<(), String> {
+    pub fn reconfigure(&mut self, mut new: Config) -> Result<(), String> {
         let (current, restart_needed) =
-            (&self.terms, "it is fixed while a marshal runs: start another marshal with the new value");
+            (&self.config, "it is fixed while a marshal runs: start another marshal with the new value");
         if new.rollout.marshal != current.rollout.marshal {
             let (from, to) = (current.rollout.marshal, new.rollout.marshal);
             return Err(format!("marshal.number cannot change from {from} to {to}; {restart_needed}"));
         }
-        if new.places.listen != current.places.listen {
-            let (from, to) = (current.places.listen, new.places.listen);
+        if new.addresses.listen != current.addresses.listen {
+            let (from, to) = (current.addresses.listen, new.addresses.listen);
             return Err(format!("places.listen cannot change from {from} to {to}; {restart_needed}"));
         }
-        let own_address = |t: &Terms| t.places.peers.get(t.rollout.marshal).copied();
+        let own_address = |t: &Config| t.addresses.peers.get(t.rollout.marshal).copied();
         if own_address(&new) != own_address(current) {
             return Err(format!(
                 "the address of this marshal in places.peers cannot change; {restart_needed}"
             ));
         }
-        if new.bounds.workers != current.bounds.workers {
+        if new.limits.worker_threads != current.limits.worker_threads {
             return Err(format!("bounds.workers cannot change; {restart_needed}"));
         }
         let zone_name = new.zones.get(new.rollout.zone).cloned();
@@ -61,7 +61,7 @@
             merge_names(&current.tenants, &new.tenants, std::mem::take(&mut new.rollout.tenants));
         let names = |names: &[String]| names.iter().collect::<Names>();
         let (zones, kept_regions) = merge_names(&names(&current.zones), &names(&new.zones), new.regions);
-        let (kinds, _) = names(&current.kinds).with(&names(&new.kinds));
+        let (kinds, _) = names(&current.kinds).merged(&names(&new.kinds));
         let all = [("methods", &methods, MAX_METHODS), ("tenants", &tenants, MAX_TENANTS)];
         let zones_and_kinds = [("zones", &zones, MAX_ZONES_OR_KINDS), ("kinds", &kinds, MAX_ZONES_OR_KINDS)];
         for (what, names, limit) in all.into_iter().chain(zones_and_kinds) {
@@ -73,25 +73,30 @@
         }
         let method_enabled = kept_methods.iter().map(Option::is_some).collect();
         let old = current.rollout.methods.iter();
-        let method_terms = kept_methods.into_iter().zip(old.map(Some).chain(std::iter::repeat(None)));
-        let method_terms = method_terms.filter_map(|(new, old)| new.or(old.cloned())).collect();
+        let method_configs = kept_methods.into_iter().zip(old.map(Some).chain(std::iter::repeat(None)));
+        let method_configs = method_configs.filter_map(|(new, old)| new.or(old.cloned())).collect();
         let none = TenantConfig { quota: 0.0, share: 0.0 };
-        let tenant_terms = quotas.into_iter().map(|q| q.unwrap_or(none)).collect();
+        let tenant_configs = quotas.into_iter().map(|q| q.unwrap_or(none)).collect();
         let zone = zone_name.and_then(|name| zones.find(&name)).unwrap_or(0);
         let (kind_count, old) = (kinds.len(), new.rollout);
-        let rollout =
-            RolloutConfig { methods: method_terms, tenants: tenant_terms, kinds: kind_count, zone, ..old };
+        let rollout = RolloutConfig {
+            methods: method_configs,
+            tenants: tenant_configs,
+            kinds: kind_count,
+            zone,
+            ..old
+        };
         // A zone that the new config does not name is a region of its own.
         let own_region = |z: usize| zones.len() + z;
         let regions = (0..zones.len()).map(|z| kept_regions[z].unwrap_or(own_region(z))).collect();
         let (zones, kinds) = (to_strings(&zones), to_strings(&kinds));
-        self.terms = Terms {
-            places: new.places,
-            bounds: new.bounds,
+        self.config = Config {
+            addresses: new.addresses,
+            limits: new.limits,
             subset: new.subset,
             rollout,
             methods,
-            serves: new.serves,
+            method_services: new.method_services,
             services: new.services,
             tenants,
             zones,
@@ -99,10 +104,10 @@
             kinds,
         };
         self.method_enabled = method_enabled;
-        self.directory.reconfigure(&self.terms);
-        self.policy.reconfigure(&self.terms.rollout);
+        self.directory.reconfigure(&self.config);
+        self.policy.reconfigure(&self.config.rollout);
         if let Some(peers) = &mut self.peers {
-            peers.resize(&self.terms);
+            peers.resize(&self.config);
         }
         Ok(())
     }
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::*;
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::list::{Listed, State};
 
 use crate::wall_clock::WallClock;
@@ -66,17 +66,17 @@
 }
 
 impl Directory {
-    pub fn new(terms: &Terms) -> Self {
+    pub fn new(config: &Config) -> Self {
         Directory {
             listed: Vec::new(),
             positions: HashMap::new(),
             ready: 0,
-            subset: Subset::new(terms),
+            subset: Subset::new(config),
             coverage: ListCoverage::default(),
             config_changed: false,
-            reuse_delay: reuse_delay(terms),
-            zones: terms.zones.clone(),
-            kinds: terms.kinds.clone(),
+            reuse_delay: reuse_delay(config),
+            zones: config.zones.clone(),
+            kinds: config.kinds.clone(),
             index: HashMap::new(),
             addrs: Vec::new(),
             entries: BTreeMap::new(),
@@ -89,11 +89,11 @@
     }
 
     /// Takes a new config. Known zones and kinds keep their indices.
-    pub fn reconfigure(&mut self, terms: &Terms) {
+    pub fn reconfigure(&mut self, config: &Config) {
         (self.zones, self.kinds, self.reuse_delay) =
-            (terms.zones.clone(), terms.kinds.clone(), reuse_delay(terms));
+            (config.zones.clone(), config.kinds.clone(), reuse_delay(config));
         self.config_changed = true;
-        match (&mut self.subset, Subset::new(terms)) {
+        match (&mut self.subset, Subset::new(config)) {
             (Some(subset), Some(new)) => subset.reconfigure(new),
             (subset, new) => *subset = new,
         }
@@ -341,13 +341,13 @@
     Some(SocketAddr::new(listed_node.host.parse().ok()?, listed_node.port))
 }
 
-fn reuse_delay(terms: &Terms) -> Duration {
-    let deadlines = terms.rollout.methods.iter().map(|m| m.deadline);
+fn reuse_delay(config: &Config) -> Duration {
+    let deadlines = config.rollout.methods.iter().map(|m| m.deadline);
     deadlines
         .chain([
             MIN_INDEX_REUSE_DELAY,
-            terms.rollout.rules.slow_start_window,
-            terms.rollout.release.exposure_window,
+            config.rollout.rules.slow_start_window,
+            config.rollout.release.exposure_window,
         ])
         .max()
         .unwrap_or(MIN_INDEX_REUSE_DELAY)
--- a/crates/marshal/src/directory/subset.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -7,7 +7,7 @@
 
 use ivydrift_policy::port::*;
 use ivydrift_subset::{choose_again, seen, Fleet, Memory, Node, Size};
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 
 /// The nodes of a marshal that has been dead for this long are taken over by others. A restart takes less
 /// time, so it moves no nodes.
@@ -33,13 +33,13 @@
 }
 
 impl Subset {
-    pub fn new(terms: &Terms) -> Option<Self> {
-        let (subset, rollout) = (terms.subset.as_ref()?, &terms.rollout);
-        let counts = &subset.marshals[..];
-        let fleet = Fleet::new(rollout.marshal, rollout.marshals, rollout.zone, counts, &terms.regions);
+    pub fn new(config: &Config) -> Option<Self> {
+        let (subset, rollout) = (config.subset.as_ref()?, &config.rollout);
+        let counts = &subset.marshals_per_zone[..];
+        let fleet = Fleet::new(rollout.marshal, rollout.marshals, rollout.zone, counts, &config.regions);
         Some(Subset {
             fleet,
-            size: Size::new(subset.least),
+            size: Size::new(subset.min_nodes),
             memory: Memory::default(),
             warm_age: rollout.rules.warm_up + rollout.rules.slow_start_window,
             budget_window: rollout.rules.slow_start_window,
--- a/crates/marshal/src/directory/tests.rs
+++ b/crates/marshal/src/directory/tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn indices_are_reused_so_a_constantly_changing_fleet_stays_bounded() {
-    let terms = ivydrift_terms::read("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
-    let mut directory = Directory::new(&terms);
+    let config = ivydrift_terms::parse("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
+    let mut directory = Directory::new(&config);
     for round in 0..500u16 {
         let node = |i| Listed {
             host: "127.0.0.1".into(),
@@ -38,7 +38,7 @@
 fn an_index_is_not_reused_while_a_pick_may_be_in_flight_even_if_its_node_only_left_the_subset() {
     let text = ivydrift_terms::EXAMPLE.replacen("deadline = \"3s\"", "deadline = \"300s\"", 1);
     let text = text.replace("of = 1", "of = 50") + "\nsubset {\n  least = 8\n}\n";
-    let mut directory = Directory::new(&ivydrift_terms::read("example.hcl", &text).unwrap());
+    let mut directory = Directory::new(&ivydrift_terms::parse("example.hcl", &text).unwrap());
     let list = |ports: std::ops::Range<u16>| -> Vec<Listed> {
         let node = |port| Listed {
             host: "127.0.0.1".into(),
@@ -76,8 +76,8 @@
 #[test]
 fn a_wall_clock_step_changes_no_node_s_age() {
     const HOUR_MS: u64 = 3_600_000;
-    let terms = ivydrift_terms::read("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
-    let mut directory = Directory::new(&terms);
+    let config = ivydrift_terms::parse("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
+    let mut directory = Directory::new(&config);
     let (now, zero) = (Duration::from_secs(90_000), 1_700_000_000_000);
     let node = |port: u16, started_ms: u64| Listed {
         host: "127.0.0.1".to_owned(),
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -24,7 +24,7 @@
 
 use ivydrift_policy::port::*;
 use ivydrift_policy::Marshal;
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::{controller, peer};
 
 use directory::Directory;
@@ -41,7 +41,7 @@
 /// layer's zero.
 pub struct Core {
     policy: Marshal,
-    terms: Terms,
+    config: Config,
     directory: Directory,
     rpcs: Rpcs,
     timers: BTreeSet<(Duration, u64)>,
@@ -76,16 +76,16 @@
 const CONTROLLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Upper bound on how long after an RPC's deadline the core waits for the policy to answer before it aborts
-/// the RPC. The rest of the reserve is left for sending the answer.
+/// the RPC. The rest of the deadline margin is left for sending the answer.
 const POLICY_GRACE: Duration = Duration::from_millis(5);
 
 impl Core {
     /// `epoch_ms` is the Unix time of the I/O layer's zero in milliseconds. Zero must lie well before the
     /// start, so that nodes started earlier have a representable age.
-    pub fn new(terms: Terms, epoch_ms: u64) -> Self {
+    pub fn new(config: Config, epoch_ms: u64) -> Self {
         Core {
-            policy: Marshal::new(&terms.rollout),
-            directory: Directory::new(&terms),
+            policy: Marshal::new(&config.rollout),
+            directory: Directory::new(&config),
             rpcs: Rpcs::default(),
             timers: BTreeSet::new(),
             counts: Counts::default(),
@@ -94,12 +94,12 @@
             pending_nodes: None,
             controller_heard: false,
             rollout_status: rollout::RolloutStatus::default(),
-            method_enabled: vec![true; terms.methods.len()],
+            method_enabled: vec![true; config.methods.len()],
             peers: None,
             dead_marshals: Vec::new(),
             started: false,
             program: String::new(),
-            terms,
+            config,
         }
     }
 
@@ -162,7 +162,7 @@
         let mut events = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
             // Zero lies at a fixed span before each start, so a later start has a larger `epoch_ms`.
-            self.peers = Peers::new(&self.terms, &self.program, self.epoch_ms, now);
+            self.peers = Peers::new(&self.config, &self.program, self.epoch_ms, now);
         }
         self.dispatch(now, input, &mut events, &mut commands);
         // The policy must be called once before any event, to set its timers.
@@ -191,7 +191,7 @@
                 let Some(disconnected) = self.rpcs.disconnect(id) else { return };
                 self.counts.left += 1;
                 events.push(Event::ClientLeft { rpc: disconnected.rpc });
-                if self.terms.rollout.limits.cancel {
+                if self.config.rollout.limits.cancel {
                     commands
                         .extend(disconnected.in_flight.into_iter().map(|pick| Command::Sever { id, pick }));
                 }
@@ -215,8 +215,8 @@
             }
             Input::VoteAnswered(ballot) => events.extend(self.vote_event(now, ballot)),
             Input::PeerDatagram(datagram) => {
-                let terms = &self.terms.rollout;
-                let other = |from| from < terms.marshals && from != terms.marshal;
+                let config = &self.config.rollout;
+                let other = |from| from < config.marshals && from != config.marshal;
                 let message = peer::read(datagram).filter(|(_, from, _)| other(usize::from(*from)));
                 match (message, &mut self.peers) {
                     (Some((peer::Kind::Policy, from, text)), _) => {
@@ -254,7 +254,7 @@
                 let node_events = self.directory.refresh_subset(now, self.counts.rpcs, dead);
                 self.apply_node_events(now, node_events, events, commands);
                 if let Some(peers) = &mut self.peers {
-                    let record = || own_record(&self.terms, &self.directory);
+                    let record = || own_record(&self.config, &self.directory);
                     commands.extend(peers.tick(now, record, self.counts.rpcs));
                 }
                 for id in self.rpcs.overdue(now) {
@@ -273,7 +273,7 @@
     fn accept_rpc(
         &mut self, now: Duration, id: Id, call: Call, events: &mut Vec<Event>, commands: &mut Vec<Command>,
     ) {
-        let known = self.terms.methods.find(call.method);
+        let known = self.config.methods.find(call.method);
         let Some(method) = known.filter(|&method| self.method_enabled[method]) else {
             self.counts.rejected += 1;
             commands.push(Command::Reject {
@@ -283,20 +283,20 @@
             });
             return;
         };
-        let terms = &self.terms.rollout.methods[method];
-        if matches!(terms.repeat, Repeat::Tokened { .. }) && !call.has_idempotency_key {
+        let config = &self.config.rollout.methods[method];
+        if matches!(config.repeat, Repeat::Tokened { .. }) && !call.has_idempotency_key {
             self.counts.rejected += 1;
             let why = "this method requires an Idempotency-Key header";
             commands.push(Command::Reject { id, status: 400, why });
             return;
         }
         // The answer must leave before the client's deadline.
-        let left = call.time_left.unwrap_or(terms.deadline).min(terms.deadline);
-        let reserve = self.terms.bounds.reserve.min(left / 4);
-        let left = left.saturating_sub(reserve);
-        let tenant = call.tenant.and_then(|name| self.terms.tenants.find(name));
-        let at_most_once = terms.repeat == Repeat::NonIdempotent;
-        let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(reserve / 2), at_most_once);
+        let left = call.time_left.unwrap_or(config.deadline).min(config.deadline);
+        let deadline_margin = self.config.limits.deadline_margin.min(left / 4);
+        let left = left.saturating_sub(deadline_margin);
+        let tenant = call.tenant.and_then(|name| self.config.tenants.find(name));
+        let at_most_once = config.repeat == Repeat::NonIdempotent;
+        let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(deadline_margin / 2), at_most_once);
         self.counts.rpcs += 1;
         let (key, repeated) = (call.key, call.is_retry);
         events.push(Event::Rpc { rpc, method, tenant, key, time_left: left, work: None, is_retry: repeated });
@@ -328,7 +328,7 @@
             if let Some((id, picks, why)) = self.rpcs.finish(rpc) {
                 commands.push(if never_ran {
                     self.counts.pushed_back += 1;
-                    let retry_after = self.terms.rollout.limits.retry_after;
+                    let retry_after = self.config.rollout.limits.retry_after;
                     Command::PushBack { id, picks, retry_after, why }
                 } else {
                     self.counts.aborted += 1;
@@ -387,7 +387,7 @@
                 Action::Tell { to, text } => self.send_to_peers(to, &text, commands),
                 Action::Log(line) => commands.push(Command::Log(line)),
                 Action::Subscribe(true) | Action::FetchList => commands.push(Command::FollowMembership),
-                // Unsubscribing and probing are not implemented here; `terms.probes` is never set.
+                // Unsubscribing and probing are not implemented here; `limits.probes` is never set.
                 Action::Subscribe(false) | Action::Probe { .. } => {}
                 Action::Vote { verdict, stage, build } => {
                     let verdict = match verdict {
@@ -396,7 +396,7 @@
                         Verdict::Hold => controller::Verdict::Hold,
                         Verdict::Back => controller::Verdict::Back,
                     };
-                    let (marshal, stage) = (self.terms.rollout.marshal as u32, stage as u32);
+                    let (marshal, stage) = (self.config.rollout.marshal as u32, stage as u32);
                     commands.push(Command::Vote(controller::Vote { marshal, verdict, stage, build }));
                 }
             }
@@ -431,9 +431,9 @@
     }
 
     fn send_to_peers(&self, to: Option<usize>, text: &[u8], commands: &mut Vec<Command>) {
-        let own = self.terms.rollout.marshal;
+        let own = self.config.rollout.marshal;
         let Some(datagram) = peer::write(peer::Kind::Policy, own as u16, text) else { return };
-        let all = 0..self.terms.places.peers.len();
+        let all = 0..self.config.addresses.peers.len();
         for to in all.filter(|&n| n != own && to.is_none_or(|wanted| wanted == n)) {
             commands.push(Command::Tell { to, datagram: datagram.clone() });
         }
@@ -447,9 +447,9 @@
 }
 
 /// This marshal's record for the others, without its RPC rate.
-fn own_record(terms: &Terms, directory: &Directory) -> peer::About {
-    let zone = terms.rollout.zone;
-    let region = terms.regions.get(zone).copied().unwrap_or(0);
+fn own_record(config: &Config, directory: &Directory) -> peer::About {
+    let zone = config.rollout.zone;
+    let region = config.regions.get(zone).copied().unwrap_or(0);
     let ready = directory.ready().min(u16::MAX.into()) as u16;
     peer::About { zone: zone as u16, region: region as u16, rate: 0.0, ready }
 }
--- a/crates/marshal/src/peers.rs
+++ b/crates/marshal/src/peers.rs
@@ -5,7 +5,7 @@
 use ivydrift_commons::level::{Level, Speech, SPOKEN};
 use ivydrift_commons::sections::{Sections, PROGRAM, SPEECH};
 use ivydrift_members::{Input, Members, Out, Pace, State};
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::peer::{self, About, Kind, More, Row, View};
 
 use crate::Command;
@@ -37,12 +37,12 @@
 impl Peers {
     /// Returns `None` where the config allows no peers. `life` increases with each start; `program` is the
     /// name of this program.
-    pub fn new(terms: &Terms, program: &str, life: u64, now: Duration) -> Option<Self> {
-        if !terms.rollout.limits.peers || terms.places.peers.is_empty() {
+    pub fn new(config: &Config, program: &str, life: u64, now: Duration) -> Option<Self> {
+        if !config.rollout.limits.peers || config.addresses.peers.is_empty() {
             return None;
         }
-        let (number, count) = (terms.rollout.marshal as u16, terms.places.peers.len() as u16);
-        let members = Members::new(number, count, life, terms.rollout.seed ^ life, now, Pace::default());
+        let (number, count) = (config.rollout.marshal as u16, config.addresses.peers.len() as u16);
+        let members = Members::new(number, count, life, config.rollout.seed ^ life, now, Pace::default());
         let mut own_sections = Sections::default();
         // Cannot fail: both are far below the size limits of sections and records.
         let _ = own_sections.put(SPEECH, SECTION_VALIDITY, &SPOKEN.write(), 0);
@@ -66,8 +66,8 @@
     }
 
     /// Takes the number of marshals from a new config.
-    pub fn resize(&mut self, terms: &Terms) {
-        self.count = terms.places.peers.len() as u16;
+    pub fn resize(&mut self, config: &Config) {
+        self.count = config.addresses.peers.len() as u16;
         self.members.resize(self.count);
     }
 
@@ -188,7 +188,7 @@
 mod tests {
     use super::*;
     use ivydrift_members::message::RECORD_BYTES;
-    use ivydrift_terms::{read, EXAMPLE};
+    use ivydrift_terms::{parse, EXAMPLE};
 
     fn ms(n: u64) -> Duration {
         Duration::from_millis(n)
@@ -209,10 +209,10 @@
 
     impl MixedVersions {
         fn new() -> MixedVersions {
-            let mut terms = read("edge.hcl", EXAMPLE).unwrap();
-            (terms.rollout.limits.peers, terms.rollout.marshal) = (true, 0);
-            terms.places.peers = (0..2).map(|n| ([127, 0, 0, 1], 7100 + n).into()).collect();
-            let new = Peers::new(&terms, "0.1.0-0123abcd", 5, ms(0)).unwrap();
+            let mut config = parse("edge.hcl", EXAMPLE).unwrap();
+            (config.rollout.limits.peers, config.rollout.marshal) = (true, 0);
+            config.addresses.peers = (0..2).map(|n| ([127, 0, 0, 1], 7100 + n).into()).collect();
+            let new = Peers::new(&config, "0.1.0-0123abcd", 5, ms(0)).unwrap();
             let old = Members::new(1, 2, 7, 3, ms(0), Pace::default());
             MixedVersions { new, old, now: ms(0), old_running: true }
         }
--- a/crates/marshal/src/rollout.rs
+++ b/crates/marshal/src/rollout.rs
@@ -59,7 +59,7 @@
     ) {
         let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
         events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unsolicited)));
-        let methods = &self.terms.methods;
+        let methods = &self.config.methods;
         for sums in &news.sums {
             let Some(method) = methods.find(&sums.method) else { continue };
             let mean = Duration::try_from_secs_f64(sums.mean_ms / 1000.0).unwrap_or_default();
--- a/crates/marshal/src/send_check.rs
+++ b/crates/marshal/src/send_check.rs
@@ -48,6 +48,6 @@
     /// drain rule.
     pub fn drain_violation(&self, begun: Duration, node: SocketAddr) -> Option<Duration> {
         let withdrawn_at = self.directory.withdrawn_at(node)?;
-        begun.checked_sub(withdrawn_at + self.terms.rollout.rules.drain_grace).filter(|late| !late.is_zero())
+        begun.checked_sub(withdrawn_at + self.config.rollout.rules.drain_grace).filter(|late| !late.is_zero())
     }
 }
--- a/crates/marshal/src/services.rs
+++ b/crates/marshal/src/services.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::peer;
 
 use crate::{Call, Command, Core, Counts, FailureReason, Id, Input, Rejected};
@@ -120,8 +120,8 @@
 
 impl Services {
     /// See [`Core::new`].
-    pub fn new(terms: Terms, epoch_ms: u64) -> Self {
-        let (primary, on_demand) = config_split::split(terms);
+    pub fn new(config: Config, epoch_ms: u64) -> Self {
+        let (primary, on_demand) = config_split::split(config);
         Services {
             primary: Core::new(primary, epoch_ms),
             on_demand,
@@ -230,9 +230,9 @@
     ///
     /// # Errors
     /// Names the setting that cannot change without a restart; then nothing has changed.
-    pub fn reconfigure(&mut self, terms: Terms) -> Result<(), String> {
-        let (primary, on_demand) = config_split::split(terms);
-        let (old, new) = (&self.primary.terms.places.service, &primary.places.service);
+    pub fn reconfigure(&mut self, config: Config) -> Result<(), String> {
+        let (primary, on_demand) = config_split::split(config);
+        let (old, new) = (&self.primary.config.addresses.service, &primary.addresses.service);
         if new != old && self.by_name.contains_key(&new[..]) {
             return Err(format!(
                 "places.service cannot change from {old:?} to {new:?} while that service is held: wait until it is \
@@ -268,7 +268,7 @@
             self.retired_counts.rpcs += 1;
             self.retired_counts.pushed_back += 1;
             let retry_after =
-                self.on_demand.terms.rollout.limits.retry_after.map(|most| most.min(MAX_RETRY_AFTER));
+                self.on_demand.config.rollout.limits.retry_after.map(|most| most.min(MAX_RETRY_AFTER));
             let command = Command::PushBack { id, picks: 0, retry_after, why: FailureReason::NoRoom };
             outputs.push(Output::Command { instance: PRIMARY, command });
             return;
@@ -297,7 +297,7 @@
             match self
                 .instances
                 .get(&instance_id)
-                .and_then(|instance| instance.drop_reason(now, self.on_demand.bounds.rest))
+                .and_then(|instance| instance.drop_reason(now, self.on_demand.limits.idle_timeout))
             {
                 Some(why) => self.drop_service(instance_id, why, outputs),
                 None => self.forward(now, instance_id, Input::Tick, outputs),
--- a/crates/marshal/src/services/capacity.rs
+++ b/crates/marshal/src/services/capacity.rs
@@ -36,11 +36,11 @@
         &mut self, now: Duration, keep: Option<InstanceId>, more: usize, bytes_needed: usize,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let bounds = self.on_demand.bounds;
+        let limits = self.on_demand.limits;
         let (mut count, mut bytes, mut evicted) =
             (self.instances.len() + more, self.bytes + bytes_needed, Vec::new());
         let mut candidates = self.eviction_order.iter().map(|r| r.1);
-        while count > bounds.most || bytes > bounds.bytes {
+        while count > limits.max_services || bytes > limits.max_bytes {
             let evictable = |instance_id: &InstanceId| {
                 Some(*instance_id) != keep && self.instances.get(instance_id).is_some_and(|s| !s.is_open(now))
             };
@@ -81,7 +81,7 @@
     pub(super) fn shrink_to_limit(
         &mut self, now: Duration, keep: Option<InstanceId>, outputs: &mut Vec<Output>,
     ) {
-        while self.bytes > self.on_demand.bounds.bytes {
+        while self.bytes > self.on_demand.limits.max_bytes {
             let evictable = |instance_id: &InstanceId| {
                 Some(*instance_id) != keep && !self.instances[instance_id].is_open(now)
             };
@@ -114,7 +114,7 @@
     pub(super) fn reindex(&mut self, now: Duration, instance_id: InstanceId) {
         let Some(instance) = self.instances.get_mut(&instance_id) else { return };
         let (due, rank, bytes) = (instance.due, instance.rank, instance.bytes);
-        instance.update_schedule(now, self.on_demand.bounds.rest);
+        instance.update_schedule(now, self.on_demand.limits.idle_timeout);
         if instance.due != due {
             self.due.remove(&(due, instance_id));
             self.due.insert((instance.due, instance_id));
--- a/crates/marshal/src/services/config_split.rs
+++ b/crates/marshal/src/services/config_split.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use ivydrift_policy::port::{MethodConfig, TenantConfig};
-use ivydrift_terms::services::ServicesTerms;
-use ivydrift_terms::{Names, Terms};
+use ivydrift_terms::services::ServicesConfig;
+use ivydrift_terms::{Config, Names};
 
 /// The config of all services except `places.service`.
 pub struct OnDemandConfig {
     /// The common part of the config, without methods, tenants and peers.
-    pub terms: Terms,
-    pub bounds: ServicesTerms,
+    pub config: Config,
+    pub limits: ServicesConfig,
     of: HashMap<String, Arc<str>>,
     methods: HashMap<Arc<str>, Vec<(String, MethodConfig)>>,
 }
@@ -27,37 +27,38 @@
     }
 
     /// The config of one service.
-    pub fn config_for(&self, service: &str) -> Terms {
-        let mut terms = self.terms.clone();
-        terms.places.service = service.to_owned();
+    pub fn config_for(&self, service: &str) -> Config {
+        let mut config = self.config.clone();
+        config.addresses.service = service.to_owned();
         let methods = self.methods(service);
-        terms.methods = methods.iter().map(|m| &m.0).collect();
-        terms.rollout.methods = methods.iter().map(|m| m.1.clone()).collect();
-        terms
+        config.methods = methods.iter().map(|m| &m.0).collect();
+        config.rollout.methods = methods.iter().map(|m| m.1.clone()).collect();
+        config
     }
 }
 
 /// Returns the config of `places.service` and that of all others.
-pub fn split(mut terms: Terms) -> (Terms, OnDemandConfig) {
-    let primary: Arc<str> = terms.places.service.clone().into();
-    let serves = std::mem::take(&mut terms.serves);
-    let (names, values) = (std::mem::take(&mut terms.methods), std::mem::take(&mut terms.rollout.methods));
+pub fn split(mut config: Config) -> (Config, OnDemandConfig) {
+    let primary: Arc<str> = config.addresses.service.clone().into();
+    let method_services = std::mem::take(&mut config.method_services);
+    let (names, values) = (std::mem::take(&mut config.methods), std::mem::take(&mut config.rollout.methods));
     let tenants: (Names, Vec<TenantConfig>) =
-        (std::mem::take(&mut terms.tenants), std::mem::take(&mut terms.rollout.tenants));
-    let mut shared = terms.clone();
-    shared.places.peers.clear();
+        (std::mem::take(&mut config.tenants), std::mem::take(&mut config.rollout.tenants));
+    let mut shared = config.clone();
+    shared.addresses.peers.clear();
     shared.rollout.limits.peers = false;
-    let bounds = terms.services;
-    let mut on_demand = OnDemandConfig { terms: shared, bounds, of: HashMap::new(), methods: HashMap::new() };
-    (terms.tenants, terms.rollout.tenants) = tenants;
+    let limits = config.services;
+    let mut on_demand =
+        OnDemandConfig { config: shared, limits, of: HashMap::new(), methods: HashMap::new() };
+    (config.tenants, config.rollout.tenants) = tenants;
     // Methods without a service belong to `places.service`.
-    let of = serves.into_iter().map(Some).chain(std::iter::repeat(None));
+    let of = method_services.into_iter().map(Some).chain(std::iter::repeat(None));
     let mut home_methods = Vec::new();
     for ((name, value), of) in names.iter().zip(values).zip(of) {
         match of.filter(|of| *of != primary) {
             None => {
                 home_methods.push(name);
-                terms.rollout.methods.push(value);
+                config.rollout.methods.push(value);
             }
             Some(of) => {
                 let known = on_demand.methods.get_key_value(&of).map(|known| known.0.clone());
@@ -67,6 +68,6 @@
             }
         }
     }
-    terms.methods = home_methods.into_iter().collect();
-    (terms, on_demand)
+    config.methods = home_methods.into_iter().collect();
+    (config, on_demand)
 }
--- a/crates/marshal/src/services/instance.rs
+++ b/crates/marshal/src/services/instance.rs
@@ -90,9 +90,9 @@
 
     /// Window of a method's idempotency keys.
     pub fn window(&self, method: &str) -> Duration {
-        let terms = &self.core.terms;
-        let at = terms.methods.find(method);
-        match at.map(|at| terms.rollout.methods[at].repeat) {
+        let config = &self.core.config;
+        let at = config.methods.find(method);
+        match at.map(|at| config.rollout.methods[at].repeat) {
             Some(Repeat::Tokened { window, .. }) => window,
             _ => Duration::ZERO,
         }
@@ -163,8 +163,8 @@
 
     /// When the windows of the rules and of idempotency keys have passed.
     fn windows_end(&self) -> Duration {
-        let terms = &self.core.terms.rollout;
-        let windows = terms.release.exposure_window.max(terms.rules.slow_start_window) + WINDOW_MARGIN;
+        let config = &self.core.config.rollout;
+        let windows = config.release.exposure_window.max(config.rules.slow_start_window) + WINDOW_MARGIN;
         self.last_pick.map_or(Duration::ZERO, |at| at + windows).max(self.keys_until)
     }
 
@@ -206,7 +206,7 @@
     /// # Errors
     /// The core would have more method names than it may.
     pub fn check_reconfigure(&self, on_demand: &OnDemandConfig) -> Result<(), String> {
-        let known: BTreeSet<&str> = self.core.terms.methods.iter().collect();
+        let known: BTreeSet<&str> = self.core.config.methods.iter().collect();
         let new = on_demand.methods(&self.name).iter().filter(|m| !known.contains(&m.0[..])).count();
         let name = &self.name;
         match known.len() + new > MAX_METHODS {
--- a/crates/marshal/src/services/memory.rs
+++ b/crates/marshal/src/services/memory.rs
@@ -29,10 +29,10 @@
     }
 
     fn fixed_bytes(&self) -> usize {
-        let terms = &self.terms;
+        let config = &self.config;
         // Zones and kinds are stored here and in the directory.
-        let names = 2 * (terms.zones.len() + terms.kinds.len()) + 2 * terms.methods.len();
-        let method_configs = terms.methods.len() * (size_of::<MethodConfig>() + 2 * MAP_ENTRY_BYTES);
+        let names = 2 * (config.zones.len() + config.kinds.len()) + 2 * config.methods.len();
+        let method_configs = config.methods.len() * (size_of::<MethodConfig>() + 2 * MAP_ENTRY_BYTES);
         size_of::<Core>() + names * NAME_BYTES + method_configs + (self.rpcs.len() * RPC_BYTES)
     }
 
--- a/crates/measure/src/scale/hollow/marshal.rs
+++ b/crates/measure/src/scale/hollow/marshal.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Ballot, Call, Command, Core, Id, Input, Observation};
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::controller::{self, Counted, Vote, VoteAnswer};
 use ivydrift_wire::list;
 use ivydrift_wire::orca::Metrics;
@@ -21,7 +21,7 @@
 
 /// Creates the shipped core of one marshal from its config and the Unix time, in milliseconds, one day before
 /// its start. All hollow marshals are created here.
-pub fn new_core(config: Terms, zero_ms: u64) -> Core {
+pub fn new_core(config: Config, zero_ms: u64) -> Core {
     let mut core = Core::new(config, zero_ms);
     core.set_program("0.1.0-0123abcd".to_owned());
     core
@@ -142,7 +142,7 @@
 impl HollowMarshal {
     /// Starts a marshal: schedules its first tick, its first request to the rollout controller and its RPCs.
     pub fn start(
-        number: usize, config: Terms, delay: [Duration; 2], now: Duration, script: &Script,
+        number: usize, config: Config, delay: [Duration; 2], now: Duration, script: &Script,
         effects: &mut Effects,
     ) -> HollowMarshal {
         let start_ms = now.as_millis() as u64;
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 use ivydrift_wire::controller::{ControllerCounts, News, RolloutState, Stage, Vote};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::list::{self, Listed, State};
@@ -107,16 +107,16 @@
     ///
     /// # Errors
     /// If the config is invalid.
-    pub fn configs(&self) -> Result<impl Fn(usize) -> Terms + '_, Error> {
+    pub fn configs(&self) -> Result<impl Fn(usize) -> Config + '_, Error> {
         let at = |n: usize| SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 7100));
         let peers: Vec<SocketAddr> = (0..self.marshals).filter(|_| self.peers).map(at).collect();
         let addresses =
             Addresses { listen: at(0), list: at(1 << 17), controller: at(1 << 18), peers: &peers };
-        let first = ivydrift_terms::read("hollow.hcl", &self.config_text(0, &addresses))
+        let first = ivydrift_terms::parse("hollow.hcl", &self.config_text(0, &addresses))
             .map_err(|e| e.to_string())?;
         Ok(move |n: usize| {
             let mut config = first.clone();
-            config.places.listen = at(n);
+            config.addresses.listen = at(n);
             (config.rollout.marshal, config.rollout.seed) = (n, n as u64 + 1);
             config.rollout.zone = self.zone(n);
             config
--- a/crates/measure/src/scale/hollow/simulation.rs
+++ b/crates/measure/src/scale/hollow/simulation.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::Duration;
 
-use ivydrift_terms::Terms;
+use ivydrift_terms::Config;
 
 use super::marshal::{Counts, Effects, HollowMarshal, LocalEvent};
 use super::script::Script;
@@ -221,7 +221,7 @@
 struct Context<'a> {
     script: &'a Script,
     lists: &'a ListCache,
-    configs: &'a dyn Fn(usize) -> Terms,
+    configs: &'a dyn Fn(usize) -> Config,
     records_changes: bool,
     out: &'a mut Vec<Vec<Event>>,
 }
--- a/crates/measure/src/scale/tenants.rs
+++ b/crates/measure/src/scale/tenants.rs
@@ -16,7 +16,7 @@
     let text = config_text(METHODS, tenants);
     let before = memory()?;
     let from = cpu();
-    let config = ivydrift_terms::read("scale.hcl", &text).map_err(|e| e.to_string())?;
+    let config = ivydrift_terms::parse("scale.hcl", &text).map_err(|e| e.to_string())?;
     let read_s = (cpu() - from).as_secs_f64();
     let bytes = text.len();
     drop(text);
--- a/crates/measure/src/subjects.rs
+++ b/crates/measure/src/subjects.rs
@@ -30,7 +30,7 @@
         .replace("127.0.0.1:7001", &towards.to_string())
         .replace("127.0.0.1:7002", &towards.to_string())
         + "bounds {\n  workers = 1\n  clients = 100000\n}\n";
-    let config = ivydrift_terms::read("measure", &text).map_err(io::Error::other)?;
+    let config = ivydrift_terms::parse("measure", &text).map_err(io::Error::other)?;
     let running = ivydrift_edge::start(config)?;
     let deadline = Instant::now() + Duration::from_secs(10);
     while running.nodes() == 0 && Instant::now() < deadline {
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -5,7 +5,7 @@
 
 use ivydrift_facts::Facts;
 use ivydrift_policy::port::ListLeaseConfig;
-use ivydrift_terms::{Bounds, Places, Terms};
+use ivydrift_terms::{Addresses, Config, Limits};
 use ivydrift_wire::controller::Stage;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 
 /// Contents of the config file: the config, the last known member list and the newest build's rollout stage.
 pub struct Start {
-    pub terms: Terms,
+    pub config: Config,
     pub known: members::Catalog,
     pub news: Option<Stage>,
 }
@@ -52,11 +52,11 @@
     let seed = seed.ok_or_else(|| invalid("seed", "up to 16 hexadecimal digits in quotes"))?;
     let facts = ivydrift_facts::read_object(seed, &top["settings"])
         .map_err(|error| format!("{file}: settings: {error}"))?;
-    let places = Places {
+    let addresses = Addresses {
         listen: address("listen", &top["listen"])?,
         node_list: address("discovery", &top["discovery"])?,
         service: String::new(),
-        release_desk: address("pipeline.address", &top["pipeline"]["address"])?,
+        rollout_controller: address("pipeline.address", &top["pipeline"]["address"])?,
         peers: vec![],
     };
     let sockets = match &top["limits"]["sockets"] {
@@ -83,14 +83,25 @@
     // always polled over HTTP.
     rollout.polls_discovery = true;
     rollout.rules.list_lease = Some(LIST_LEASE);
-    let bounds = Bounds::by_descriptors(sockets as usize, BODY, connect);
+    let limits = Limits::by_descriptors(sockets as usize, BODY, connect);
     let regions = vec![0; zones.len()];
     let (methods, tenants) = (methods.iter().collect(), tenants.iter().collect());
     // The platform has a single service, so methods name none.
     let (serves, services) = (vec![], Default::default());
     // All nodes of the list are used.
     let subset = None;
-    let terms =
-        Terms { places, bounds, subset, rollout, methods, serves, services, tenants, zones, regions, kinds };
-    Ok(Start { terms, known, news })
+    let config = Config {
+        addresses,
+        limits,
+        subset,
+        rollout,
+        methods,
+        method_services: serves,
+        services,
+        tenants,
+        zones,
+        regions,
+        kinds,
+    };
+    Ok(Start { config, known, news })
 }
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -245,9 +245,9 @@
 
     fn start(&mut self, marshal: usize) -> Result<(), String> {
         let text = self.env.day.config(marshal, &addresses(&self.env.day));
-        let terms = ivydrift_terms::read("terms", &text).map_err(|e| e.to_string())?;
+        let config = ivydrift_terms::parse("terms", &text).map_err(|e| e.to_string())?;
         let generation = self.processes[marshal].generation + 1;
-        let core = Core::new(terms, START_UNIX_MS - CLOCK_OFFSET.as_millis() as u64);
+        let core = Core::new(config, START_UNIX_MS - CLOCK_OFFSET.as_millis() as u64);
         self.processes[marshal] =
             MarshalProcess { core: Some(core), generation, ..MarshalProcess::not_running() };
         let since = self.now;
--- a/crates/terms/src/hcl_reader.rs
+++ b/crates/terms/src/hcl_reader.rs
@@ -28,57 +28,57 @@
 
 /// All errors of one file. `Display` writes one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Complaints(pub Vec<ConfigError>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Complaints {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let lines: Vec<String> = self.0.iter().map(ConfigError::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
 
-impl std::error::Error for Complaints {}
+impl std::error::Error for ConfigErrors {}
 
 /// The text of a file, with the errors found in it so far.
-pub struct Page {
+pub struct SourceFile {
     name: String,
     text: String,
     errors: RefCell<Vec<ConfigError>>,
 }
 
-impl Page {
+impl SourceFile {
     pub fn new(name: &str, text: &str) -> Self {
-        Page { name: name.to_owned(), text: text.to_owned(), errors: RefCell::default() }
+        SourceFile { name: name.to_owned(), text: text.to_owned(), errors: RefCell::default() }
     }
 
     /// Parses the file with `read` and returns its result if there were no errors.
     ///
     /// # Errors
     /// Returns every error, in the order of the file.
-    pub fn read<T>(&self, read: impl FnOnce(&Sheet) -> T) -> Result<T, Complaints> {
+    pub fn read<T>(&self, read: impl FnOnce(&BlockReader) -> T) -> Result<T, ConfigErrors> {
         let body: Body = match hcl_edit::parser::parse_body(&self.text) {
             Ok(body) => body,
             Err(e) => {
                 let location = e.location();
                 let what = format!("syntax error: {}", e.message());
                 let (line, column) = (location.line(), location.column());
-                return Err(Complaints(vec![ConfigError { file: self.name.clone(), line, column, what }]));
+                return Err(ConfigErrors(vec![ConfigError { file: self.name.clone(), line, column, what }]));
             }
         };
-        let sheet = Sheet { page: self, body: &body, place: 0..0, known: RefCell::default() };
-        let result = read(&sheet);
-        sheet.complain_of_unknown_keys();
+        let reader = BlockReader { source: self, body: &body, place: 0..0, known: RefCell::default() };
+        let result = read(&reader);
+        reader.report_unknown_keys();
         let mut errors = self.errors.take();
         if errors.is_empty() {
             return Ok(result);
         }
         errors.sort_by_key(|error| (error.line, error.column));
         errors.dedup();
-        Err(Complaints(errors))
+        Err(ConfigErrors(errors))
     }
 
     /// Records an error at a byte range of the text.
-    fn complain(&self, place: &Range<usize>, what: String) {
+    fn error(&self, place: &Range<usize>, what: String) {
         let preceding = &self.text.as_bytes()[..place.start.min(self.text.len())];
         let line = preceding.iter().filter(|&&b| b == b'\n').count() + 1;
         let column = preceding.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
@@ -90,8 +90,8 @@
 /// reader returns the default or a placeholder so that the rest of the file is checked too.
 ///
 /// In all readers `fallback` is the default for an absent or invalid value; without it the key is required.
-pub struct Sheet<'a> {
-    page: &'a Page,
+pub struct BlockReader<'a> {
+    source: &'a SourceFile,
     body: &'a Body,
     place: Range<usize>,
     known: RefCell<BTreeSet<String>>,
@@ -102,12 +102,12 @@
     value.to_string().trim().chars().take(40).collect()
 }
 
-impl<'a> Sheet<'a> {
+impl<'a> BlockReader<'a> {
     /// Records an error for a key of this block, or for the block itself.
-    pub fn complain(&self, key: Option<&str>, what: impl Into<String>) {
+    pub fn error(&self, key: Option<&str>, what: impl Into<String>) {
         let attr = key.and_then(|k| self.body.get_attribute(k));
         let place = attr.and_then(|a| a.span()).unwrap_or(self.place.clone());
-        self.page.complain(&place, what.into());
+        self.source.error(&place, what.into());
     }
 
     pub fn has(&self, key: &str) -> bool {
@@ -125,14 +125,14 @@
     ) -> Option<T> {
         let Some(attr) = self.find(key) else {
             if fallback.is_none() {
-                self.complain(None, format!("{key} is missing: write {key} = {form}"));
+                self.error(None, format!("{key} is missing: write {key} = {form}"));
             }
             return fallback;
         };
         let value = read(&attr.value);
         if value.is_none() {
             let place = attr.value.span().unwrap_or(0..0);
-            self.page.complain(&place, format!("{key} is {}: write {form}", excerpt(&attr.value)));
+            self.source.error(&place, format!("{key} is {}: write {form}", excerpt(&attr.value)));
         }
         value.or(fallback)
     }
@@ -147,25 +147,25 @@
     }
 
     /// Reads a whole number within `range`.
-    pub fn whole(&self, key: &str, fallback: Option<u64>, range: RangeInclusive<u64>) -> u64 {
+    pub fn integer(&self, key: &str, fallback: Option<u64>, range: RangeInclusive<u64>) -> u64 {
         let form = format!("a whole number, {} to {}", range.start(), range.end());
         let read = |expr: &Expression| expr.as_number()?.as_u64().filter(|v| range.contains(v));
         self.read_value(key, fallback, &form, read).unwrap_or(*range.start())
     }
 
     /// Reads a duration with its unit.
-    pub fn span(&self, key: &str, fallback: Option<Duration>) -> Duration {
+    pub fn duration(&self, key: &str, fallback: Option<Duration>) -> Duration {
         let form = "a duration with its unit, as in \"800ms\", \"3s\" or \"2m\"";
         self.read_value(key, fallback, form, |expr| parse_duration(expr.as_str()?)).unwrap_or_default()
     }
 
     /// Reads a boolean.
-    pub fn flag(&self, key: &str, fallback: Option<bool>) -> bool {
+    pub fn boolean(&self, key: &str, fallback: Option<bool>) -> bool {
         self.read_value(key, fallback, "true or false", Expression::as_bool).unwrap_or_default()
     }
 
     /// Reads a string.
-    pub fn text(&self, key: &str, fallback: Option<&str>, form: &str) -> String {
+    pub fn string(&self, key: &str, fallback: Option<&str>, form: &str) -> String {
         self.read_value(key, fallback.map(str::to_owned), form, |expr| expr.as_str().map(str::to_owned))
             .unwrap_or_default()
     }
@@ -186,7 +186,7 @@
     }
 
     /// Reads a list of strings.
-    pub fn texts(&self, key: &str, fallback: Option<Vec<String>>) -> Vec<String> {
+    pub fn strings(&self, key: &str, fallback: Option<Vec<String>>) -> Vec<String> {
         let read = |expr: &Expression| {
             expr.as_array()?.iter().map(|expr| expr.as_str().map(str::to_owned)).collect()
         };
@@ -201,33 +201,31 @@
         self.read_value(key, fallback, &form, read).unwrap_or_default()
     }
 
-    fn for_block(&self, block: &'a Block) -> Sheet<'a> {
+    fn for_block(&self, block: &'a Block) -> BlockReader<'a> {
         let place = block.ident.span().or(block.span()).unwrap_or(0..0);
-        Sheet { page: self.page, body: &block.body, place, known: RefCell::default() }
+        BlockReader { source: self.source, body: &block.body, place, known: RefCell::default() }
     }
 
     /// Reads all blocks with this name. Each must have one label, unique among them; `read` gets the label and the block.
-    pub fn labelled<T>(&self, name: &str, read: impl Fn(&str, &Sheet) -> T) -> Vec<T> {
+    pub fn labelled_blocks<T>(&self, name: &str, read: impl Fn(&str, &BlockReader) -> T) -> Vec<T> {
         self.known.borrow_mut().insert(name.to_owned());
         let mut seen = BTreeSet::new();
         let read_block = |block: &'a Block| {
-            let sheet = self.for_block(block);
+            let reader = self.for_block(block);
             let label = match &block.labels[..] {
                 [BlockLabel::String(s)] => s.as_str().to_owned(),
                 [BlockLabel::Ident(i)] => i.as_str().to_owned(),
                 _ => {
-                    sheet.complain(
-                        None,
-                        format!("{name} takes one label: write {name} \"its-name\" {{ ... }}"),
-                    );
+                    reader
+                        .error(None, format!("{name} takes one label: write {name} \"its-name\" {{ ... }}"));
                     String::new()
                 }
             };
             if !seen.insert(label.clone()) {
-                sheet.complain(None, format!("{name} {label:?} is given twice: keep one"));
+                reader.error(None, format!("{name} {label:?} is given twice: keep one"));
             }
-            let value = read(&label, &sheet);
-            sheet.complain_of_unknown_keys();
+            let value = read(&label, &reader);
+            reader.report_unknown_keys();
             value
         };
         let body: &'a Body = self.body;
@@ -235,45 +233,45 @@
     }
 
     /// Reads a block that may occur at most once. An absent block is read as an empty one.
-    pub fn block<T>(&self, name: &str, read: impl FnOnce(&Sheet) -> T) -> T {
+    pub fn block<T>(&self, name: &str, read: impl FnOnce(&BlockReader) -> T) -> T {
         self.known.borrow_mut().insert(name.to_owned());
         let body: &'a Body = self.body;
         let mut blocks = body.blocks().filter(|b| b.has_ident(name));
         let empty = Body::new();
         let first = blocks.next();
         if let Some(second) = blocks.next() {
-            self.for_block(second).complain(None, format!("{name} is given twice: keep one"));
+            self.for_block(second).error(None, format!("{name} is given twice: keep one"));
         }
         match first {
             Some(block) => {
-                let sheet = self.for_block(block);
+                let reader = self.for_block(block);
                 if !block.labels.is_empty() {
-                    sheet.complain(None, format!("{name} takes no label: write {name} {{ ... }}"));
+                    reader.error(None, format!("{name} takes no label: write {name} {{ ... }}"));
                 }
-                let value = read(&sheet);
-                sheet.complain_of_unknown_keys();
+                let value = read(&reader);
+                reader.report_unknown_keys();
                 value
             }
             None => {
-                let sheet = Sheet {
-                    page: self.page,
+                let reader = BlockReader {
+                    source: self.source,
                     body: &empty,
                     place: self.place.clone(),
                     known: RefCell::default(),
                 };
-                read(&sheet)
+                read(&reader)
             }
         }
     }
 
     /// Returns the blocks with these names as HCL text, for a file that another program reads.
-    pub fn copy(&self, names: &[&str]) -> String {
+    pub fn blocks_as_hcl(&self, names: &[&str]) -> String {
         let kept = self.body.blocks().filter(|b| names.contains(&b.ident.as_str()));
         Body::from_iter(kept.cloned()).to_string()
     }
 
     /// Records an error for each key and block that no reader asked for, so that a misspelt key does not count as absent.
-    fn complain_of_unknown_keys(&self) {
+    fn report_unknown_keys(&self) {
         let known = self.known.borrow();
         for structure in self.body.iter() {
             let (key, place) = match (structure.as_attribute(), structure.as_block()) {
@@ -287,7 +285,7 @@
                     Some(known) => format!("did you mean {known}?"),
                     None => format!("known keys: {}", known.iter().cloned().collect::<Vec<_>>().join(", ")),
                 };
-                self.page.complain(&place.unwrap_or(0..0), format!("unknown key {key}: {hint}"));
+                self.source.error(&place.unwrap_or(0..0), format!("unknown key {key}: {hint}"));
             }
         }
     }
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,4 +1,4 @@
-//! The marshal's config: parses an HCL file into [`Terms`] and reports all its errors at once. [`EXAMPLE`] is a valid
+//! The marshal's config: parses an HCL file into [`Config`] and reports all its errors at once. [`EXAMPLE`] is a valid
 //! file; `docs/operators.md` explains each key.
 #![forbid(unsafe_code)]
 
@@ -14,17 +14,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hcl_reader::{Complaints, Page, Sheet};
+use hcl_reader::{BlockReader, ConfigErrors, SourceFile};
 use ivydrift_policy::port::*;
 pub use names::Names;
-pub use subset::SubsetTerms;
+pub use subset::SubsetConfig;
 
 /// An example config: a single marshal that uses the default addresses of the simulated services.
 pub const EXAMPLE: &str = include_str!("../example.hcl");
 
 /// Network addresses that the marshal listens on or connects to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Places {
+pub struct Addresses {
     /// Listens here for clients' RPCs.
     pub listen: SocketAddr,
     /// The node list (discovery).
@@ -32,97 +32,97 @@
     /// Name of the service in the node list.
     pub service: String,
     /// The rollout controller.
-    pub release_desk: SocketAddr,
+    pub rollout_controller: SocketAddr,
     /// UDP addresses of all marshals by number, this one included. Empty if marshals do not exchange data.
     pub peers: Vec<SocketAddr>,
 }
 
 /// Limits on connections, memory and socket waits of the marshal's I/O layer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct Limits {
     /// Concurrent client connections; further ones are closed on arrival.
-    pub clients: usize,
+    pub max_clients: usize,
     /// From this number of client connections on, each is closed after its answer, and idle ones are closed in favour of
     /// new ones.
-    pub crowd: usize,
+    pub close_after_answer_above: usize,
     /// File descriptors the process may use. If set, idle clients are also closed to stay below it.
-    pub descriptors: Option<usize>,
+    pub max_descriptors: Option<usize>,
     /// Bodies of up to this many bytes are buffered so that the RPC can be retried. A longer body is streamed to the
     /// node, so the RPC is sent only once.
-    pub body: usize,
+    pub buffered_body_bytes: usize,
     /// Longest accepted body of an RPC, in bytes.
-    pub longest_body: u64,
+    pub max_body_bytes: u64,
     /// Handshakes per second that the marshals together can absorb when all clients of this one reconnect.
-    pub handshakes: usize,
+    pub handshakes_per_s: usize,
     /// Time a client has to complete a message that it has begun.
-    pub slow_client: Duration,
+    pub message_timeout: Duration,
     /// Idle client connections are closed after this time.
-    pub idle_client: Duration,
+    pub client_idle_timeout: Duration,
     /// Time a new client has to send its first message completely; none: no such limit.
-    pub first_message: Option<Duration>,
+    pub first_message_timeout: Option<Duration>,
     /// Minimum idle time before a connection to a node is reused. A faulty node may send a second, late answer, which
     /// would be taken as the answer to the next RPC. Costs one more connection for each RPC within this time.
-    pub settle: Duration,
+    pub reuse_delay: Duration,
     /// How long the server may hold a blocking query.
-    pub list_hold: Duration,
+    pub list_query_wait: Duration,
     /// After this time the readiness check succeeds even without any node, so that a start-up that waits for the marshal
     /// can proceed; RPCs are pushed back until nodes are known.
-    pub ready_latest: Option<Duration>,
+    pub max_ready_delay: Option<Duration>,
     /// New clients are still accepted for this long after a stop was requested.
-    pub linger: Duration,
+    pub accept_after_stop: Duration,
     /// Timeout for establishing a connection to a node.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Idle connections kept per node.
-    pub idle_to_node: usize,
+    pub max_idle_per_node: usize,
     /// Idle connections kept to all nodes together.
-    pub idle_to_nodes: usize,
+    pub max_idle_total: usize,
     /// The final answer is sent this long before the client's deadline.
-    pub reserve: Duration,
+    pub deadline_margin: Duration,
     /// Threads that run coroutines.
-    pub workers: usize,
+    pub worker_threads: usize,
 }
 
-impl Bounds {
+impl Limits {
     /// Default limits for a process with `descriptors` file descriptors. Clients may use those that are not needed by
     /// RPCs in progress (up to one more each, to a node) and idle connections to nodes. Clients that send one RPC and
-    /// stay connected could fill a third of the descriptors and block new clients, so `crowd` is a quarter.
-    pub fn by_descriptors(descriptors: usize, body: usize, connect: Duration) -> Bounds {
-        Bounds {
-            clients: descriptors,
-            crowd: descriptors / 4,
-            descriptors: Some(descriptors),
-            body,
-            longest_body: body as u64,
-            handshakes: 2000,
-            slow_client: Duration::from_millis(2000),
-            idle_client: Duration::from_millis(5000),
-            first_message: Some(Duration::from_millis(2300)),
-            settle: Duration::from_millis(20),
-            list_hold: Duration::from_millis(3000),
-            ready_latest: Some(Duration::from_secs(8)),
-            linger: Duration::from_millis(600),
-            connect,
-            idle_to_node: 16,
-            idle_to_nodes: descriptors / 8,
-            reserve: Duration::from_millis(20),
-            workers: 1,
+    /// stay connected could fill a third of the descriptors and block new clients, so `close_after_answer_above` is a quarter.
+    pub fn by_descriptors(descriptors: usize, body: usize, connect: Duration) -> Limits {
+        Limits {
+            max_clients: descriptors,
+            close_after_answer_above: descriptors / 4,
+            max_descriptors: Some(descriptors),
+            buffered_body_bytes: body,
+            max_body_bytes: body as u64,
+            handshakes_per_s: 2000,
+            message_timeout: Duration::from_millis(2000),
+            client_idle_timeout: Duration::from_millis(5000),
+            first_message_timeout: Some(Duration::from_millis(2300)),
+            reuse_delay: Duration::from_millis(20),
+            list_query_wait: Duration::from_millis(3000),
+            max_ready_delay: Some(Duration::from_secs(8)),
+            accept_after_stop: Duration::from_millis(600),
+            connect_timeout: connect,
+            max_idle_per_node: 16,
+            max_idle_total: descriptors / 8,
+            deadline_margin: Duration::from_millis(20),
+            worker_threads: 1,
         }
     }
 }
 
 /// The parsed and validated config of one marshal.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub places: Places,
-    pub bounds: Bounds,
+pub struct Config {
+    pub addresses: Addresses,
+    pub limits: Limits,
     /// None: all listed nodes are used.
-    pub subset: Option<SubsetTerms>,
+    pub subset: Option<SubsetConfig>,
     pub rollout: RolloutConfig,
     /// Names of methods, by the indices used in the policy. `tenants`, `zones` and `kinds` do the same for their kind.
     pub methods: Names,
-    /// The service of each method. Methods without an entry belong to [`Places::service`].
-    pub serves: Vec<Arc<str>>,
-    pub services: services::ServicesTerms,
+    /// The service of each method. Methods without an entry belong to [`Addresses::service`].
+    pub method_services: Vec<Arc<str>>,
+    pub services: services::ServicesConfig,
     pub tenants: Names,
     pub zones: Vec<String>,
     /// Region index of each zone.
@@ -141,8 +141,8 @@
     OtherRegion,
 }
 
-impl Terms {
-    /// Returns the distance between two zones, given as indices into [`Terms::zones`]. An index that is not in the config
+impl Config {
+    /// Returns the distance between two zones, given as indices into [`Config::zones`]. An index that is not in the config
     /// is far from all others.
     pub fn distance(&self, a: usize, b: usize) -> Distance {
         match (self.regions.get(a), self.regions.get(b)) {
@@ -157,111 +157,110 @@
 ///
 /// # Errors
 /// Returns all errors of the text, each with file, line, column and what to write instead.
-pub fn read(file: &str, text: &str) -> Result<Terms, Complaints> {
-    Page::new(file, text).read(from_sheet)
+pub fn parse(file: &str, text: &str) -> Result<Config, ConfigErrors> {
+    SourceFile::new(file, text).read(from_hcl)
 }
 
-fn address(sheet: &Sheet, key: &str) -> SocketAddr {
+fn address(reader: &BlockReader, key: &str) -> SocketAddr {
     let form = "\"address:port\", as in \"127.0.0.1:7100\"";
     let parse_address = |text: &str| text.parse().ok();
-    sheet.parsed(key, None, form, parse_address).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
+    reader.parsed(key, None, form, parse_address).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn from_sheet(top: &Sheet) -> Terms {
-    let zones = top.texts("zones", Some(vec!["here".to_owned()]));
+fn from_hcl(top: &BlockReader) -> Config {
+    let zones = top.strings("zones", Some(vec!["here".to_owned()]));
     let regions = regions(top, &zones);
-    let kinds = top.texts("kinds", Some(vec!["plain".to_owned()]));
+    let kinds = top.strings("kinds", Some(vec!["plain".to_owned()]));
     let (marshal, marshals, zone, seed) = top.block("marshal", |block| {
-        let marshals = block.whole("of", Some(1), 1..=10_000) as usize;
-        let number = block.whole("number", Some(0), 0..=9_999) as usize;
+        let marshals = block.integer("of", Some(1), 1..=10_000) as usize;
+        let number = block.integer("number", Some(0), 0..=9_999) as usize;
         if number >= marshals {
-            block.complain(
+            block.error(
                 Some("number"),
                 format!("number is {number}: write 0 to {}, for of = {marshals}", marshals - 1),
             );
         }
-        let zone = block.text("zone", zones.first().map(String::as_str), "one of the zones");
+        let zone = block.string("zone", zones.first().map(String::as_str), "one of the zones");
         let index = zones.iter().position(|known| *known == zone);
         if index.is_none() {
-            block.complain(
+            block.error(
                 Some("zone"),
                 format!("zone {zone:?} is not among zones: write one of {}", zones.join(", ")),
             );
         }
-        (number, marshals, index.unwrap_or(0), block.whole("seed", Some(number as u64 + 1), 0..=u64::MAX))
+        (number, marshals, index.unwrap_or(0), block.integer("seed", Some(number as u64 + 1), 0..=u64::MAX))
     });
-    let places = top.block("places", |block| {
+    let addresses = top.block("places", |block| {
         let peer = |text: &String| match text.parse() {
             Ok(addr) => Some(addr),
             Err(_) => {
-                block.complain(
-                    Some("peers"),
-                    format!("peers holds {text:?}: write \"address:port\" for each"),
-                );
+                block.error(Some("peers"), format!("peers holds {text:?}: write \"address:port\" for each"));
                 None
             }
         };
-        let peers: Vec<SocketAddr> = block.texts("peers", Some(vec![])).iter().filter_map(peer).collect();
+        let peers: Vec<SocketAddr> = block.strings("peers", Some(vec![])).iter().filter_map(peer).collect();
         if !peers.is_empty() && peers.len() != marshals {
             let message =
                 format!("peers has {} addresses: write one for each of the {marshals} marshals", peers.len());
-            block.complain(Some("peers"), message);
+            block.error(Some("peers"), message);
         }
-        Places {
+        Addresses {
             listen: address(block, "listen"),
             node_list: address(block, "node_list"),
-            service: block.text("service", None, "the service's name in the node list"),
-            release_desk: address(block, "release_desk"),
+            service: block.string("service", None, "the service's name in the node list"),
+            rollout_controller: address(block, "release_desk"),
             peers,
         }
     });
-    let methods = top.labelled("method", |name, block| {
+    let methods = top.labelled_blocks("method", |name, block| {
         let value = method(block);
-        (name.to_owned(), (value, services::of_method(block, &places.service)))
+        (name.to_owned(), (value, services::of_method(block, &addresses.service)))
     });
     if methods.is_empty() {
-        top.complain(None, "no method is named: write at least one method \"its-path\" { ... }");
+        top.error(None, "no method is named: write at least one method \"its-path\" { ... }");
     }
-    let tenants = top.labelled("tenant", |name, block| {
+    let tenants = top.labelled_blocks("tenant", |name, block| {
         let quota = block.number("quota", None, 0.0..=f64::INFINITY);
         (name.to_owned(), TenantConfig { quota, share: block.number("share", None, 0.0..=1.0) })
     });
-    let bounds = top.block("bounds", |block| Bounds {
-        clients: block.whole("clients", Some(10_000), 1..=1_000_000) as usize,
-        crowd: usize::MAX,
-        descriptors: None,
-        body: block.whole("body_kib", Some(64), 1..=16_384) as usize * 1024,
-        longest_body: block.whole("longest_body_kib", Some(65_536), 1..=1 << 30) * 1024,
-        handshakes: block.whole("handshakes", Some(2000), 1..=1_000_000) as usize,
-        slow_client: block.span("slow_client", Some(Duration::from_secs(10))),
-        idle_client: block.span("idle_client", Some(Duration::from_secs(300))),
-        first_message: None,
-        settle: Duration::ZERO,
-        list_hold: Duration::from_secs(10),
-        ready_latest: None,
-        linger: Duration::ZERO,
-        connect: block.span("connect", Some(Duration::from_millis(250))),
-        idle_to_node: block.whole("idle_to_node", Some(64), 1..=10_000) as usize,
-        idle_to_nodes: usize::MAX,
-        reserve: block.span("reserve", Some(Duration::from_millis(20))),
-        workers: block.whole("workers", Some(2), 1..=256) as usize,
+    let limits = top.block("bounds", |block| Limits {
+        max_clients: block.integer("clients", Some(10_000), 1..=1_000_000) as usize,
+        close_after_answer_above: usize::MAX,
+        max_descriptors: None,
+        buffered_body_bytes: block.integer("body_kib", Some(64), 1..=16_384) as usize * 1024,
+        max_body_bytes: block.integer("longest_body_kib", Some(65_536), 1..=1 << 30) * 1024,
+        handshakes_per_s: block.integer("handshakes", Some(2000), 1..=1_000_000) as usize,
+        message_timeout: block.duration("slow_client", Some(Duration::from_secs(10))),
+        client_idle_timeout: block.duration("idle_client", Some(Duration::from_secs(300))),
+        first_message_timeout: None,
+        reuse_delay: Duration::ZERO,
+        list_query_wait: Duration::from_secs(10),
+        max_ready_delay: None,
+        accept_after_stop: Duration::ZERO,
+        connect_timeout: block.duration("connect", Some(Duration::from_millis(250))),
+        max_idle_per_node: block.integer("idle_to_node", Some(64), 1..=10_000) as usize,
+        max_idle_total: usize::MAX,
+        deadline_margin: block.duration("reserve", Some(Duration::from_millis(20))),
+        worker_threads: block.integer("workers", Some(2), 1..=256) as usize,
     });
-    let limits = top.block("limits", |block| LimitConfig {
-        max_picks: block.whole("most_picks", Some(4), 1..=100) as usize,
-        hedging: block.flag("second_copies", Some(false)),
-        cancel: block.flag("cancel", Some(true)),
+    let policy_limits = top.block("limits", |block| LimitConfig {
+        max_picks: block.integer("most_picks", Some(4), 1..=100) as usize,
+        hedging: block.boolean("second_copies", Some(false)),
+        cancel: block.boolean("cancel", Some(true)),
         probes: false,
-        peers: !places.peers.is_empty(),
-        idle_timeout: block.span("idle_kept", Some(Duration::from_secs(30))),
-        retry_after: Some(block.span("retry_after", Some(Duration::from_secs(2)))).filter(|d| !d.is_zero()),
+        peers: !addresses.peers.is_empty(),
+        idle_timeout: block.duration("idle_kept", Some(Duration::from_secs(30))),
+        retry_after: Some(block.duration("retry_after", Some(Duration::from_secs(2))))
+            .filter(|d| !d.is_zero()),
     });
     let rules = top.block("rules", rules);
     let release = top.block("release", |block| release(block, marshals));
     let names = methods.iter().map(|method| &method.0).collect();
-    let (method_terms, serves): (_, Vec<Arc<str>>) = methods.into_iter().map(|method| method.1).unzip();
-    let services = services::read(top, &places.service, &serves);
+    let (method_configs, method_services): (_, Vec<Arc<str>>) =
+        methods.into_iter().map(|method| method.1).unzip();
+    let services = services::parse(top, &addresses.service, &method_services);
     let subset = subset::subset(top, &zones, (marshal, marshals, zone));
-    let (tenant_names, tenant_terms) =
+    let (tenant_names, tenant_configs) =
         (tenants.iter().map(|tenant| &tenant.0).collect(), tenants.iter().map(|tenant| tenant.1).collect());
     let rollout = RolloutConfig {
         seed,
@@ -270,23 +269,35 @@
         zone,
         // A blocking query is a subscription that can fail, so the policy decides when to query again.
         polls_discovery: true,
-        methods: method_terms,
-        tenants: tenant_terms,
+        methods: method_configs,
+        tenants: tenant_configs,
         over_share_utility: top.number("over_share_utility", Some(1.0), 0.0..=1.0),
-        warm_keys: top.flag("warm_keys", Some(false)),
+        warm_keys: top.boolean("warm_keys", Some(false)),
         kinds: kinds.len(),
         release,
         rules,
-        limits,
+        limits: policy_limits,
     };
     let (methods, tenants) = (names, tenant_names);
-    Terms { places, bounds, subset, rollout, methods, serves, services, tenants, zones, regions, kinds }
+    Config {
+        addresses,
+        limits,
+        subset,
+        rollout,
+        methods,
+        method_services,
+        services,
+        tenants,
+        zones,
+        regions,
+        kinds,
+    }
 }
 
 /// Reads the blocks `region "north" { zones = [...] }` into the region index of each zone. Without any such block all
 /// zones are in one region.
-fn regions(top: &Sheet, zones: &[String]) -> Vec<usize> {
-    let blocks = top.labelled("region", |name, block| (name.to_owned(), block.texts("zones", None)));
+fn regions(top: &BlockReader, zones: &[String]) -> Vec<usize> {
+    let blocks = top.labelled_blocks("region", |name, block| (name.to_owned(), block.strings("zones", None)));
     let mut region_of: Vec<Option<usize>> = vec![None; zones.len()];
     for (region, (name, members)) in blocks.iter().enumerate() {
         for zone in members {
@@ -295,14 +306,14 @@
                 Some(_) => {
                     let message =
                         format!("zone {zone:?} is in two regions, {name:?} is the second: list it in one");
-                    top.complain(Some("zones"), message);
+                    top.error(Some("zones"), message);
                 }
                 None => {
                     let message = format!(
                         "region {name:?} names zone {zone:?}, which is not among zones: write one of {}",
                         zones.join(", ")
                     );
-                    top.complain(Some("zones"), message);
+                    top.error(Some("zones"), message);
                 }
             }
         }
@@ -317,21 +328,21 @@
         if !unassigned.is_empty() {
             let message =
                 format!("no region contains zone {}: list each zone in one region", unassigned.join(", "));
-            top.complain(Some("zones"), message);
+            top.error(Some("zones"), message);
         }
     }
     region_of.into_iter().map(|region| region.unwrap_or(0)).collect()
 }
 
 /// Reads the block `rules`.
-pub fn rules(block: &Sheet) -> RuleConfig {
+pub fn rules(block: &BlockReader) -> RuleConfig {
     RuleConfig {
-        drain_grace: block.span("drain_grace", Some(Duration::from_secs(1))),
+        drain_grace: block.duration("drain_grace", Some(Duration::from_secs(1))),
         cold_start_part: block.number("cold_from", Some(0.4), 0.01..=1.0),
-        warm_up: block.span("warm_within", Some(Duration::from_secs(5))),
+        warm_up: block.duration("warm_within", Some(Duration::from_secs(5))),
         slow_start_multiple: block.number("fall_multiple", Some(3.0), 1.0..=1000.0),
-        slow_start_window: block.span("fall_window", Some(Duration::from_secs(1))),
-        max_call_gap: block.span("ask_within", Some(Duration::from_secs(10))),
+        slow_start_window: block.duration("fall_window", Some(Duration::from_secs(1))),
+        max_call_gap: block.duration("ask_within", Some(Duration::from_secs(10))),
         list_lease: None,
     }
 }
@@ -345,7 +356,7 @@
 }
 
 /// Reads a `method` block.
-pub fn method(block: &Sheet) -> MethodConfig {
+pub fn method(block: &BlockReader) -> MethodConfig {
     let repeat_kinds = [
         ("idempotent", RepeatKind::Idempotent),
         ("tokened", RepeatKind::Tokened),
@@ -358,16 +369,16 @@
             let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
             Repeat::Tokened {
                 group: block.one_of("group", Some(Group::All), &groups),
-                window: block.span("window", None),
+                window: block.duration("window", None),
             }
         }
     };
-    let (soft_deadline, deadline) = (block.span("soft_deadline", None), block.span("deadline", None));
+    let (soft_deadline, deadline) = (block.duration("soft_deadline", None), block.duration("deadline", None));
     if soft_deadline > deadline {
-        block.complain(Some("soft_deadline"), "soft_deadline is after deadline: write at most the deadline");
+        block.error(Some("soft_deadline"), "soft_deadline is after deadline: write at most the deadline");
     }
     if soft_deadline.is_zero() && block.has("soft_deadline") {
-        block.complain(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
+        block.error(Some("soft_deadline"), "soft_deadline is 0: write a duration over 0");
     }
     MethodConfig {
         repeat,
@@ -376,12 +387,12 @@
         deadline,
         utility: block.number("utility", Some(1.0), 0.0..=1e9),
         late_utility: block.number("late_utility", Some(0.0), 0.0..=1.0),
-        streamed: block.flag("streamed", Some(false)),
+        streamed: block.boolean("streamed", Some(false)),
     }
 }
 
 /// Reads the block `release`. The default vote counts depend on the number of marshals.
-pub fn release(block: &Sheet, marshals: usize) -> ReleaseConfig {
+pub fn release(block: &BlockReader, marshals: usize) -> ReleaseConfig {
     let shares = block.numbers("shares", Some(vec![0.1, 0.35, 1.0]), 0.0..=1.0);
     let caps = block.numbers("caps", Some(vec![0.14, 0.49, 1.0]), 0.0..=1.0);
     if shares.len() != caps.len() || shares.is_empty() {
@@ -390,7 +401,7 @@
             caps.len(),
             shares.len()
         );
-        block.complain(Some("caps"), message);
+        block.error(Some("caps"), message);
     }
     let marshals = marshals as u64;
     ReleaseConfig {
@@ -399,19 +410,19 @@
             Some(Control::Votes),
             &[("votes", Control::Votes), ("clock", Control::Clock)],
         ),
-        promote_votes: block.whole("on_votes", Some(marshals.div_ceil(2)), 1..=marshals) as usize,
-        rollback_votes: block.whole("back_votes", Some(marshals.div_ceil(3)), 1..=marshals) as usize,
+        promote_votes: block.integer("on_votes", Some(marshals.div_ceil(2)), 1..=marshals) as usize,
+        rollback_votes: block.integer("back_votes", Some(marshals.div_ceil(3)), 1..=marshals) as usize,
         shares,
         exposure_caps: caps,
-        exposure_window: block.span("window", Some(Duration::from_secs(3))),
+        exposure_window: block.duration("window", Some(Duration::from_secs(3))),
         free_picks: block.number("free", Some(2.0), 0.0..=1e6),
-        exposure_by_method: block.flag("by_method", Some(false)),
-        guarded_stages: block.whole("guarded_stages", Some(0), 0..=100) as usize,
-        one_way: block.flag("one_way", Some(false)),
-        in_place: block.flag("in_place", Some(false)),
-        min_stage_time: block.span("bake", Some(Duration::from_secs(1))),
-        vote_life: block.span("vote_life", Some(Duration::from_secs(4))),
-        vote_wait: block.span("vote_wait", Some(Duration::from_millis(800))),
+        exposure_by_method: block.boolean("by_method", Some(false)),
+        guarded_stages: block.integer("guarded_stages", Some(0), 0..=100) as usize,
+        one_way: block.boolean("one_way", Some(false)),
+        in_place: block.boolean("in_place", Some(false)),
+        min_stage_time: block.duration("bake", Some(Duration::from_secs(1))),
+        vote_life: block.duration("vote_life", Some(Duration::from_secs(4))),
+        vote_wait: block.duration("vote_wait", Some(Duration::from_millis(800))),
         vote_rate: block.number("vote_rate", Some(80.0), 0.1..=1e6),
         flag_share: block.number("flag_share", Some(0.0), 0.0..=1.0),
     }
--- a/crates/terms/src/names.rs
+++ b/crates/terms/src/names.rs
@@ -60,7 +60,7 @@
 
     /// Appends the names of `more` that are not in this list. Returns the merged list and the index in it of each name of
     /// `more`.
-    pub fn with(&self, other: &Names) -> (Names, Vec<usize>) {
+    pub fn merged(&self, other: &Names) -> (Names, Vec<usize>) {
         let mut added = Vec::new();
         let mut indices: Vec<usize> = Vec::with_capacity(other.len());
         for (i, name) in other.iter().enumerate() {
--- a/crates/terms/src/names/tests.rs
+++ b/crates/terms/src/names/tests.rs
@@ -28,10 +28,10 @@
 #[test]
 fn new_names_are_appended() {
     let names: Names = ["read", "save"].iter().collect();
-    let (all, indices) = names.with(&["book", "save", "plan", "book"].iter().collect());
+    let (all, indices) = names.merged(&["book", "save", "plan", "book"].iter().collect());
     assert_eq!(all, ["read", "save", "book", "plan"]);
     assert_eq!(indices, [2, 1, 3, 2]);
-    let (unchanged, indices) = all.with(&names);
+    let (unchanged, indices) = all.merged(&names);
     assert!(Arc::ptr_eq(&unchanged.0, &all.0), "merging known names must not copy the list");
     assert_eq!(indices, [0, 1]);
 }
@@ -43,7 +43,7 @@
     let comparisons = |n: usize| {
         let (known, new) = (numbered(0..n), numbered(n / 2..n + n / 2));
         COMPARISONS.set(0);
-        let (all, indices) = known.with(&new);
+        let (all, indices) = known.merged(&new);
         assert_eq!((all.len(), indices[0], indices[n - 1]), (n + n / 2, n / 2, n + n / 2 - 1));
         COMPARISONS.get()
     };
--- a/crates/terms/src/services.rs
+++ b/crates/terms/src/services.rs
@@ -4,31 +4,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::hcl_reader::Sheet;
+use crate::hcl_reader::BlockReader;
 
 /// Maximum length of a service name, which is part of the path and query of requests to the node list and the rollout
 /// controller.
 const MAX_NAME_BYTES: usize = 100;
 
-/// Limits on the services loaded in addition to [`crate::Places::service`].
+/// Limits on the services loaded in addition to [`crate::Addresses::service`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServicesTerms {
+pub struct ServicesConfig {
     /// Services loaded at once.
-    pub most: usize,
+    pub max_services: usize,
     /// A service without RPCs is unloaded after this time.
-    pub rest: Duration,
+    pub idle_timeout: Duration,
     /// Estimated memory of all of them together, in bytes.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
-impl Default for ServicesTerms {
+impl Default for ServicesConfig {
     fn default() -> Self {
-        ServicesTerms { most: 64, rest: Duration::from_secs(120), bytes: 16_384 * 1024 }
+        ServicesConfig { max_services: 64, idle_timeout: Duration::from_secs(120), max_bytes: 16_384 * 1024 }
     }
 }
 
 /// Reads the service that a `method` block names; `default_service`, the service of `places`, if it names none.
-pub fn of_method(method: &Sheet, default_service: &str) -> Arc<str> {
+pub fn of_method(method: &BlockReader, default_service: &str) -> Arc<str> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let read = |name: &str| {
         let valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(is_allowed);
@@ -41,24 +41,25 @@
 }
 
 /// Reads the block `services`, and checks that the service of `places` (`default_service`) has at least one method.
-pub fn read(top: &Sheet, default_service: &str, serves: &[Arc<str>]) -> ServicesTerms {
-    if !serves.is_empty() && serves.iter().all(|name| **name != *default_service) {
+pub fn parse(top: &BlockReader, default_service: &str, method_services: &[Arc<str>]) -> ServicesConfig {
+    if !method_services.is_empty() && method_services.iter().all(|name| **name != *default_service) {
         let message = format!(
             "no method belongs to places.service {default_service:?}: leave `service` out of at least one method, or write a service \
              that has a method as places.service"
         );
-        top.complain(None, message);
+        top.error(None, message);
     }
-    let defaults = ServicesTerms::default();
+    let defaults = ServicesConfig::default();
     top.block("services", |block| {
-        let rest = block.span("rest", Some(defaults.rest));
+        let rest = block.duration("rest", Some(defaults.idle_timeout));
         if rest < Duration::from_secs(1) && block.has("rest") {
-            block.complain(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
+            block.error(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
         }
-        ServicesTerms {
-            most: block.whole("most", Some(defaults.most as u64), 1..=10_000) as usize,
-            rest,
-            bytes: block.whole("kib", Some(defaults.bytes as u64 / 1024), 64..=16 << 20) as usize * 1024,
+        ServicesConfig {
+            max_services: block.integer("most", Some(defaults.max_services as u64), 1..=10_000) as usize,
+            idle_timeout: rest,
+            max_bytes: block.integer("kib", Some(defaults.max_bytes as u64 / 1024), 64..=16 << 20) as usize
+                * 1024,
         }
     })
 }
