--- a/crates/edge/src/command.rs
+++ b/crates/edge/src/command.rs
@@ -41,7 +41,7 @@
 /// A config file that was read, in the format of either dialect.
 enum ConfigFile {
     Native(Box<ivydrift_terms::Config>),
-    Platform(Box<start::Start>),
+    Platform(Box<start::PlatformConfig>),
 }
 
 impl ConfigFile {
@@ -49,7 +49,7 @@
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
         if platform {
-            return start::read(&name, &text).map(|start| ConfigFile::Platform(Box::new(start)));
+            return start::parse(&name, &text).map(|platform| ConfigFile::Platform(Box::new(platform)));
         }
         let config = ivydrift_terms::parse(&name, &text).map_err(|errors| errors.to_string())?;
         Ok(ConfigFile::Native(Box::new(config)))
@@ -58,14 +58,14 @@
     fn apply(self, running: &crate::Running) -> Result<(), String> {
         match self {
             ConfigFile::Native(config) => running.renew(*config),
-            ConfigFile::Platform(start) => running.renew_on_platform(*start),
+            ConfigFile::Platform(platform) => running.renew_on_platform(*platform),
         }
     }
 
     fn start(self) -> std::io::Result<crate::Running> {
         match self {
             ConfigFile::Native(config) => crate::start(*config),
-            ConfigFile::Platform(start) => crate::start_on_platform(*start),
+            ConfigFile::Platform(platform) => crate::start_on_platform(*platform),
         }
     }
 }
@@ -90,9 +90,10 @@
             print!("{}", ivydrift_terms::EXAMPLE);
             return ExitCode::SUCCESS;
         }
-        let from_env = || std::env::var_os(start::FILE).filter(|_| self.platform).map(PathBuf::from);
+        let from_env =
+            || std::env::var_os(start::CONFIG_PATH_ENV).filter(|_| self.platform).map(PathBuf::from);
         let Some(file) = self.file.clone().or_else(from_env) else {
-            eprintln!("no config file given: pass its path or set {} to it", start::FILE);
+            eprintln!("no config file given: pass its path or set {} to it", start::CONFIG_PATH_ENV);
             return ExitCode::from(2);
         };
         let config = match ConfigFile::load(&file, self.platform) {
@@ -105,7 +106,7 @@
         log_to_stderr();
         let listen_addr = match &config {
             ConfigFile::Native(config) => config.addresses.listen,
-            ConfigFile::Platform(start) => start.config.addresses.listen,
+            ConfigFile::Platform(platform) => platform.config.addresses.listen,
         };
         // Signal handlers are installed before the start so that no signal is lost.
         let mut signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -8,7 +8,7 @@
 use ivydrift_marshal::{Call, FailureReason};
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::rpc as platform_rpc;
-use ivydrift_platform::start::BODY;
+use ivydrift_platform::start::MAX_BODY_BYTES;
 use ivydrift_wire::http::{Fields, Framing, HeadWriter, Refusal, Request, Response};
 use ivydrift_wire::orca::{self, Metrics};
 use ivydrift_wire::rpc;
@@ -43,7 +43,7 @@
 const NOT_FORWARDED_PLATFORM: [&str; 2] = ["host", platform_rpc::TIMEOUT];
 const NOT_RETURNED: [&str; 8] =
     [orca::FIELD, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY, rpc::NEVER_RAN, rpc::SPREAD_MS, "via"];
-const NOT_RETURNED_PLATFORM: [&str; 2] = [platform_rpc::LOAD, platform_rpc::NEVER_RAN];
+const NOT_RETURNED_PLATFORM: [&str; 2] = [platform_rpc::LOAD, platform_rpc::NOT_PROCESSED];
 
 impl Dialect {
     /// The platform's state, or `None` in the native dialect.
@@ -56,7 +56,7 @@
 
     /// Whether this is a health check rather than an RPC.
     pub fn is_health_check(&self, request: &Request) -> bool {
-        self.platform().is_some() && platform_rpc::asks_health(request)
+        self.platform().is_some() && platform_rpc::is_readiness_check(request)
     }
 
     /// Reads the client's timeout, if given, and claims the request id.
@@ -72,11 +72,11 @@
             Dialect::Platform(platform) => {
                 let name = platform_rpc::method_of(&request.target);
                 let repeatable = settings.methods.find(name).map(|method| settings.repeatable[method]);
-                let parsed = platform_rpc::read(request, repeatable)?;
+                let parsed = platform_rpc::validate_request(request, repeatable)?;
                 let why = "an RPC with this X-Request-ID was taken already";
-                let claim = platform.ids.claim(parsed.id, parsed.left.min(settings.longest_deadline));
+                let claim = platform.ids.claim(parsed.id, parsed.time_left.min(settings.longest_deadline));
                 let claim = claim.ok_or(Refusal { status: 409, why })?;
-                Ok((Some(parsed.left), Some(claim)))
+                Ok((Some(parsed.time_left), Some(claim)))
             }
         }
     }
@@ -93,14 +93,14 @@
                 is_retry: fields.get(rpc::EARLIER_TRIES).is_some_and(|n| n != "0"),
             },
             Dialect::Platform(_) => {
-                let (tenant, repeated) = platform_rpc::sender(fields);
+                let (tenant, is_retry) = platform_rpc::tenant_and_retried(fields);
                 Call {
                     method: platform_rpc::method_of(target),
                     tenant,
                     key: None,
                     has_idempotency_key: false,
                     time_left: left,
-                    is_retry: repeated,
+                    is_retry,
                 }
             }
         }
@@ -118,7 +118,7 @@
                 .field("via", via),
             Dialect::Platform(_) => head
                 .pass(fields, &NOT_FORWARDED_PLATFORM)
-                .field(platform_rpc::TIMEOUT, platform_rpc::timeout(time_left)),
+                .field(platform_rpc::TIMEOUT, platform_rpc::format_timeout(time_left)),
         }
     }
 
@@ -135,18 +135,18 @@
                 let load = head.fields.get(orca::FIELD).map(Metrics::read).unwrap_or_default();
                 (head.status, head.fields.get(rpc::NEVER_RAN) == Some("1"), load)
             }
-            Dialect::Platform(_) => platform_rpc::heard(head),
+            Dialect::Platform(_) => platform_rpc::interpret_response(head),
         }
     }
 
     /// Whether an answer with this framing is invalid.
     pub fn is_invalid_framing(&self, framing: Framing) -> bool {
-        self.platform().is_some() && platform_rpc::spoilt(framing)
+        self.platform().is_some() && platform_rpc::is_unusable(framing)
     }
 
     /// The longest valid answer in bytes, if there is a limit.
     pub fn max_answer_bytes(&self) -> Option<usize> {
-        self.platform().map(|_| BODY)
+        self.platform().map(|_| MAX_BODY_BYTES)
     }
 
     /// The response head of a successful RPC, without its framing fields.
@@ -176,7 +176,7 @@
                     None => head,
                 }
             }
-            Dialect::Platform(_) => platform_rpc::push_back(retry_after),
+            Dialect::Platform(_) => platform_rpc::pushed_back_head(retry_after),
         }
     }
 
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{DiscoverySignal, Input};
-use ivydrift_platform::members::LIST_BYTES;
+use ivydrift_platform::members::MAX_LIST_BYTES;
 use ivydrift_sockets::coroutine::{go, pause};
 
 use crate::dialect::Platform;
@@ -127,9 +127,9 @@
         let max_hold = self.edge.limits().list_query_wait;
         let hold = if continued { max_hold } else { max_hold.min(OPENING_HOLD) };
         let slack = if continued { CONTINUED_SLACK } else { QUEUE_WAIT };
-        let path = self.platform.catalog.lock().unwrap().path(hold.as_millis() as u64);
+        let path = self.platform.catalog.lock().unwrap().next_request_target(hold.as_millis() as u64);
         let call = Call { started: Instant::now(), hold, continued, incremental: path.contains('?') };
-        let answer = self.client.send("GET", &path, b"", LIST_BYTES, hold + slack);
+        let answer = self.client.send("GET", &path, b"", MAX_LIST_BYTES, hold + slack);
         let took_ms = call.started.elapsed().as_millis() as u64;
         match &answer {
             Ok(_) => tracing::debug!(path, took_ms, continued, "membership call answered"),
@@ -141,8 +141,8 @@
     /// Applies an answer to the catalog and passes the list to the core.
     fn apply(&self, body: &[u8]) -> Result<(), CallError> {
         let mut catalog = self.platform.catalog.lock().unwrap();
-        catalog.take(&String::from_utf8_lossy(body)).map_err(CallError::Unusable)?;
-        let nodes = catalog.listed();
+        catalog.apply(&String::from_utf8_lossy(body)).map_err(CallError::Unusable)?;
+        let nodes = catalog.nodes();
         drop(catalog);
         self.edge.read_wall_clock();
         self.edge.dispatch(Input::NodeList(&nodes), 0);
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -44,11 +44,11 @@
     fn next(&mut self, deadline: Instant) -> io::Result<Line> {
         loop {
             if let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") {
-                let line = controller::line(&self.buf[..end]);
+                let line = controller::parse_line(&self.buf[..end]);
                 self.buf.drain(..end + 2);
                 return line.map_err(|why| io::Error::new(ErrorKind::InvalidData, why));
             }
-            if self.buf.len() >= controller::LINE_BYTES {
+            if self.buf.len() >= controller::MAX_LINE_BYTES {
                 return Err(io::Error::new(
                     ErrorKind::InvalidData,
                     "line from the rollout controller exceeds the length limit",
@@ -73,10 +73,10 @@
         Line::Stage(stage) => Some(make_news(Some(stage), vec![], vec![])),
         Line::Sums(sums) => Some(make_news(None, vec![sums], vec![])),
         Line::Disputed { unit, method, age_ms } => {
-            let node = platform.catalog.lock().unwrap().place(&unit)?;
+            let node = platform.catalog.lock().unwrap().address(&unit)?;
             Some(make_news(None, vec![], vec![Disputed { node, method, age_ms }]))
         }
-        Line::Done(_) | Line::Refused(_) | Line::Alive => None,
+        Line::Ok(_) | Line::Refused(_) | Line::KeepAlive => None,
     }
 }
 
@@ -92,7 +92,8 @@
     let has_moved = || edge.address_generation.load(Ordering::Acquire) != address_generation;
     let mut failures = 0;
     while !has_moved() {
-        let opened = ControllerConnection::open(to, controller::FOLLOW, Instant::now() + CONNECT_TIMEOUT);
+        let opened =
+            ControllerConnection::open(to, controller::SUBSCRIBE_REQUEST, Instant::now() + CONNECT_TIMEOUT);
         let result = opened.and_then(|mut connection| -> io::Result<()> {
             loop {
                 let line = connection.next(Instant::now() + RECONNECT_AFTER)?;
@@ -120,11 +121,14 @@
 pub fn send_vote(edge: &Edge, vote: &Vote) -> Ballot {
     let settings = edge.settings();
     let deadline = Instant::now() + settings.vote_wait;
-    let answer =
-        ControllerConnection::open(settings.addresses.rollout_controller, &controller::vote(vote), deadline)
-            .and_then(|mut connection| connection.next(deadline));
+    let answer = ControllerConnection::open(
+        settings.addresses.rollout_controller,
+        &controller::format_vote(vote),
+        deadline,
+    )
+    .and_then(|mut connection| connection.next(deadline));
     match answer {
-        Ok(Line::Done(Some(stage))) => Ballot::Answered(VoteAnswer { counted: Counted::Counts, stage }),
+        Ok(Line::Ok(Some(stage))) => Ballot::Answered(VoteAnswer { counted: Counted::Counts, stage }),
         Ok(Line::Refused(counted)) => Ballot::Refused(counted),
         Err(e) if e.kind() == ErrorKind::ConnectionRefused => Ballot::Failed,
         // An unreadable or late answer proves nothing.
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -8,7 +8,7 @@
 
 use ivydrift_marshal::{Counts, DiscoverySignal, Input};
 use ivydrift_platform::members::Catalog;
-use ivydrift_platform::start::Start;
+use ivydrift_platform::start::PlatformConfig;
 use ivydrift_terms::{Addresses, Config};
 use ivydrift_wire::controller::News;
 
@@ -46,11 +46,11 @@
 ///
 /// # Errors
 /// If its address cannot be bound.
-pub fn start_on_platform(start: Start) -> io::Result<Running> {
-    let (known_nodes, config) = (start.known.listed(), start.config);
-    let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(start.known)))?;
+pub fn start_on_platform(platform: PlatformConfig) -> io::Result<Running> {
+    let (known_nodes, config) = (platform.catalog.nodes(), platform.config);
+    let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(platform.catalog)))?;
     // Data known from before is passed on first, since everything received later is newer.
-    if let Some(stage) = start.news {
+    if let Some(stage) = platform.rollout_stage {
         let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
         edge.dispatch(Input::RolloutUpdate(&news), 0);
     }
@@ -85,8 +85,8 @@
     ///
     /// # Errors
     /// As for [`Running::renew`].
-    pub fn renew_on_platform(&self, start: Start) -> Result<(), String> {
-        self.reload(start.config, Some(&start.known))
+    pub fn renew_on_platform(&self, platform: PlatformConfig) -> Result<(), String> {
+        self.reload(platform.config, Some(&platform.catalog))
     }
 
     fn reload(&self, config: Config, known_nodes: Option<&Catalog>) -> Result<(), String> {
@@ -103,7 +103,7 @@
         {
             edge.change_addresses(|| {
                 if let (Some(platform), Some(known_nodes)) = (edge.dialect.platform(), known_nodes) {
-                    platform.catalog.lock().unwrap().moved(known_nodes);
+                    platform.catalog.lock().unwrap().continue_from(known_nodes);
                 }
             });
             edge.rewatch_all();
--- a/crates/facts/src/check.rs
+++ b/crates/facts/src/check.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::{malformed, Facts, Result};
+use crate::{malformed, Result, StartSettings};
 
 /// Longest accepted duration, 1000 days (about three years). The sum of two such durations cannot overflow a clock.
 const MAX_DURATION: Duration = Duration::from_secs(1000 * 24 * 3600);
 
 /// Checks every field and returns the first violation.
-pub fn validate(facts: &Facts) -> Result<()> {
-    let terms = &facts.terms;
-    let (release, rules, limits) = (&terms.release, &terms.rules, &terms.limits);
+pub fn validate(settings: &StartSettings) -> Result<()> {
+    let rollout = &settings.rollout;
+    let (release, rules, limits) = (&rollout.release, &rollout.rules, &rollout.limits);
     let require = |key: String, valid: bool, expected: &str| match valid {
         true => Ok(()),
         false => malformed(format!("the start setting {key} is invalid: write {expected}")),
@@ -31,9 +31,9 @@
         }
         Ok(())
     };
-    unique_names("request_classes", &facts.methods)?;
-    unique_names("tenants", &facts.tenants)?;
-    for (i, method) in terms.methods.iter().enumerate() {
+    unique_names("request_classes", &settings.methods)?;
+    unique_names("tenants", &settings.tenants)?;
+    for (i, method) in rollout.methods.iter().enumerate() {
         let key = |name: &str| format!("request_classes.{i}.{name}");
         for (name, duration) in [("objective", method.soft_deadline), ("give_up", method.deadline)] {
             positive(key(name), duration)?;
@@ -42,20 +42,20 @@
         require(key("value"), method.utility >= 0.0, "a number of 0 or more")?;
         require(key("late_value"), method.late_utility >= 0.0, "a number of 0 or more")?;
     }
-    let total_utility: f64 = terms.methods.iter().map(|method| method.utility).sum();
+    let total_utility: f64 = rollout.methods.iter().map(|method| method.utility).sum();
     require("request_classes.0.value".into(), total_utility > 0.0, "a number over 0 for one class at least")?;
-    for (i, tenant) in terms.tenants.iter().enumerate() {
+    for (i, tenant) in rollout.tenants.iter().enumerate() {
         require(format!("tenants.{i}.quota_per_s"), tenant.quota >= 0.0, "a number of 0 or more")?;
         require(format!("tenants.{i}.share"), (0.0..=1.0).contains(&tenant.share), "a number from 0 to 1")?;
     }
     require(
         "siblings".into(),
-        (1..=100_000).contains(&terms.marshals),
+        (1..=100_000).contains(&rollout.marshals),
         "the number of marshals, 1 to 100000",
     )?;
-    require("slot_no".into(), terms.marshal < terms.marshals, "a number below that of siblings")?;
-    require("zone".into(), terms.zone < facts.zones.len().max(1), "an index into azs, from 0")?;
-    require("over_share_worth".into(), terms.over_share_utility >= 0.0, "a number of 0 or more")?;
+    require("slot_no".into(), rollout.marshal < rollout.marshals, "a number below that of siblings")?;
+    require("zone".into(), rollout.zone < settings.zones.len().max(1), "an index into azs, from 0")?;
+    require("over_share_worth".into(), rollout.over_share_utility >= 0.0, "a number of 0 or more")?;
     require("bounds.most_tries".into(), limits.max_picks >= 1, "a whole number over 0")?;
     let key = |name: &str| format!("family_info.{name}");
     let stages = release.exposure_caps.len();
@@ -79,7 +79,7 @@
     positive("rules.fall".into(), rules.slow_start_window)?;
     positive(key("span"), release.exposure_window)?;
     positive("bounds.conn_idle".into(), limits.idle_timeout)?;
-    positive("bounds.dial_timeout".into(), facts.connect)?;
+    positive("bounds.dial_timeout".into(), settings.connect_timeout)?;
     let durations = [
         ("rules.drain_grace", rules.drain_grace),
         ("rules.warm_within", rules.warm_up),
@@ -90,7 +90,7 @@
         ("family_info.vote_stands", release.vote_life),
         ("family_info.answer_wait", release.vote_wait),
         ("bounds.conn_idle", limits.idle_timeout),
-        ("bounds.dial_timeout", facts.connect),
+        ("bounds.dial_timeout", settings.connect_timeout),
         ("bounds.max_retry_after", limits.retry_after.unwrap_or_default()),
     ];
     durations.into_iter().try_for_each(|(key, duration)| bounded(key.to_owned(), duration))
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -13,24 +13,24 @@
 use serde_json::Value;
 
 /// Parsed start settings, with the column layout of load reports.
-pub struct Facts {
-    pub terms: RolloutConfig,
+pub struct StartSettings {
+    pub rollout: RolloutConfig,
     /// Column names of a load report, in order.
     pub columns: Vec<String>,
-    /// Names of methods, by the indices used in `terms`. The next three lists do the same for their kind.
+    /// Names of methods, by the indices used in `rollout`. The next three lists do the same for their kind.
     pub methods: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// Timeout for establishing a connection to a node.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// A parse or validation error: one sentence without its full stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong(pub String);
+pub struct SettingsError(pub String);
 
-impl fmt::Display for Wrong {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -39,10 +39,10 @@
 /// Connect timeout used when the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-pub type Result<T> = std::result::Result<T, Wrong>;
+pub type Result<T> = std::result::Result<T, SettingsError>;
 
 fn malformed<T>(message: impl Into<String>) -> Result<T> {
-    Err(Wrong(message.into()))
+    Err(SettingsError(message.into()))
 }
 
 /// Settings flattened into a map from key path to text value.
@@ -191,7 +191,7 @@
 ///
 /// # Errors
 /// Returns the first key that is missing, malformed or out of range.
-pub fn read(seed: u64, text: &[u8]) -> Result<Facts> {
+pub fn parse_lines(seed: u64, text: &[u8]) -> Result<StartSettings> {
     from_settings(seed, &Settings::from_lines(text)?)
 }
 
@@ -199,11 +199,11 @@
 ///
 /// # Errors
 /// Returns the first key that is missing, malformed or out of range.
-pub fn read_object(seed: u64, value: &Value) -> Result<Facts> {
+pub fn parse_json(seed: u64, value: &Value) -> Result<StartSettings> {
     from_settings(seed, &Settings::from_json(value))
 }
 
-fn from_settings(seed: u64, settings: &Settings) -> Result<Facts> {
+fn from_settings(seed: u64, settings: &Settings) -> Result<StartSettings> {
     let methods =
         (0..settings.count("request_classes")?).map(|i| method(settings, i)).collect::<Result<Vec<_>>>()?;
     if methods.is_empty() {
@@ -222,7 +222,7 @@
     } else {
         None
     };
-    let ask_discovery = match settings.text("discovery")? {
+    let polls_discovery = match settings.text("discovery")? {
         "subscribe" => true,
         "automatic" => false,
         other => {
@@ -231,12 +231,12 @@
             ))
         }
     };
-    let terms = RolloutConfig {
+    let rollout = RolloutConfig {
         seed,
         marshal: settings.whole_number("slot_no")? as usize,
         marshals: settings.whole_number("siblings")? as usize,
         zone: settings.number_or_zero("zone")? as usize,
-        polls_discovery: ask_discovery,
+        polls_discovery,
         methods,
         tenants,
         over_share_utility: settings.number_or_zero("over_share_worth")?,
@@ -268,21 +268,21 @@
             .map(|i| settings.text(&format!("{list}.{i}.name")).map(str::to_owned))
             .collect()
     };
-    let facts = Facts {
-        terms,
+    let parsed = StartSettings {
+        rollout,
         columns: items("load_report.columns"),
         methods: names("request_classes")?,
         tenants: names("tenants")?,
         zones: items("azs"),
         kinds: items("models"),
-        connect: if settings.has("bounds.dial_timeout") {
+        connect_timeout: if settings.has("bounds.dial_timeout") {
             settings.duration("bounds.dial_timeout")?
         } else {
             DEFAULT_CONNECT_TIMEOUT
         },
     };
-    check::validate(&facts)?;
-    Ok(facts)
+    check::validate(&parsed)?;
+    Ok(parsed)
 }
 
 fn method(settings: &Settings, i: usize) -> Result<MethodConfig> {
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -7,16 +7,16 @@
 use serde_json::Value;
 
 /// Line length limit in bytes; a line of this length or more closes the connection.
-pub const LINE_BYTES: usize = 8 * 1024;
+pub const MAX_LINE_BYTES: usize = 8 * 1024;
 
 /// Request that subscribes to events.
-pub const FOLLOW: &[u8] = b"follow\r\n";
+pub const SUBSCRIBE_REQUEST: &[u8] = b"follow\r\n";
 
 /// One line received from the rollout controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// `OK`: the vote was counted, with the current rollout stage. Without a stage it acknowledges `follow`.
-    Done(Option<Stage>),
+    Ok(Option<Stage>),
     /// `ERR`: the vote was not counted, with the reason.
     Refused(Counted),
     /// The rollout stage changed.
@@ -26,11 +26,11 @@
     /// A client disputed an answer of the member whose id is `unit`.
     Disputed { unit: String, method: String, age_ms: u64 },
     /// Keep-alive.
-    Alive,
+    KeepAlive,
 }
 
 /// Formats a vote.
-pub fn vote(vote: &Vote) -> Vec<u8> {
+pub fn format_vote(vote: &Vote) -> Vec<u8> {
     let verdict = match vote.verdict {
         Verdict::None => "none",
         Verdict::On => "on",
@@ -40,7 +40,7 @@
     format!("judge {} {} {verdict}\r\n", vote.build, vote.stage).into_bytes()
 }
 
-fn course(word: &str) -> Option<RolloutState> {
+fn rollout_state(word: &str) -> Option<RolloutState> {
     Some(match word {
         "testing" => RolloutState::OnTrial,
         "recalling" => RolloutState::GoingBack,
@@ -56,10 +56,10 @@
 }
 
 fn stage(words: &[&str]) -> Option<Stage> {
-    let [build, stage, course_word, cap, age_ms] = words else { return None };
+    let [build, stage, state_word, cap, age_ms] = words else { return None };
     let cap = number(cap).filter(|cap| *cap <= 1.0)?;
     let (build, stage) = (build.parse().ok()?, stage.parse().ok()?);
-    Some(Stage { build, stage, course: course(course_word)?, cap, age_ms: number(age_ms)? as u64 })
+    Some(Stage { build, stage, course: rollout_state(state_word)?, cap, age_ms: number(age_ms)? as u64 })
 }
 
 /// Reads the rollout stage from the platform's config file.
@@ -81,18 +81,18 @@
 ///
 /// # Errors
 /// Returns a sentence that quotes the line if it is malformed.
-pub fn line(text: &[u8]) -> Result<Line, String> {
+pub fn parse_line(text: &[u8]) -> Result<Line, String> {
     let malformed =
         || format!("malformed line from the rollout controller: {:?}", String::from_utf8_lossy(text));
     let Ok(text) = std::str::from_utf8(text) else { return Err(malformed()) };
     let words: Vec<&str> = text.split(' ').collect();
     let parsed = match &words[..] {
-        ["OK"] => Some(Line::Done(None)),
-        ["OK", words @ ..] => stage(words).map(|s| Line::Done(Some(s))),
+        ["OK"] => Some(Line::Ok(None)),
+        ["OK", words @ ..] => stage(words).map(|s| Line::Ok(Some(s))),
         ["ERR", "limit"] => Some(Line::Refused(Counted::Full)),
         ["ERR", "moot"] => Some(Line::Refused(Counted::Moot)),
         ["ERR", "error" | "malformed"] => Some(Line::Refused(Counted::Error)),
-        ["*"] => Some(Line::Alive),
+        ["*"] => Some(Line::KeepAlive),
         ["*", "ROLLOUT", words @ ..] => stage(words).map(Line::Stage),
         ["*", "SAMPLE", words @ ..] => sums(words).map(Line::Sums),
         ["*", "DISPUTE", unit, method, age_ms] => number(age_ms).map(|age_ms| {
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 /// Largest accepted list, in bytes.
-pub const LIST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
 struct Update {
@@ -59,25 +59,25 @@
     /// catalog, the revisions may not be comparable, so the next request fetches a full snapshot. If it is equal, changes
     /// are requested as before: 300 marshals that moved at once and each fetched a snapshot delayed one another's lists
     /// by 13 s.
-    pub fn moved(&mut self, known: &Catalog) {
+    pub fn continue_from(&mut self, known: &Catalog) {
         if self != known {
             self.revision = None;
         }
     }
 
     /// All members, ordered by id.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn nodes(&self) -> Vec<Listed> {
         self.members.values().cloned().collect()
     }
 
     /// Address (`host:port`) of the member with this id.
-    pub fn place(&self, id: &str) -> Option<String> {
+    pub fn address(&self, id: &str) -> Option<String> {
         self.members.get(id).map(|member| format!("{}:{}", member.host, member.port))
     }
 
     /// Request target of the next query: changes since the known revision, held by the server for up to `hold_ms`, or a
     /// full snapshot.
-    pub fn path(&self, hold_ms: u64) -> String {
+    pub fn next_request_target(&self, hold_ms: u64) -> String {
         match self.revision {
             None => "/catalog/members".to_owned(),
             Some(known) => format!("/catalog/members?from={known}&hold_ms={hold_ms}"),
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// Returns a sentence on what is malformed; no member has changed then.
-    pub fn take(&mut self, text: &str) -> Result<(), String> {
+    pub fn apply(&mut self, text: &str) -> Result<(), String> {
         let update: Update = serde_json::from_str(text).map_err(|e| format!("malformed member list: {e}"))?;
         if !update.complete && self.revision.is_none_or(|known| update.revision < known) {
             // These changes have another base than ours, for example after a restart of the member list. Clearing the
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use ivydrift_facts::Facts;
+use ivydrift_facts::StartSettings;
 use ivydrift_policy::port::ListLeaseConfig;
 use ivydrift_terms::{Addresses, Config, Limits};
 use ivydrift_wire::controller::Stage;
@@ -14,10 +14,10 @@
 use crate::{controller, members};
 
 /// Longest body of the platform's messages, in bytes.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Environment variable that names the file.
-pub const FILE: &str = "LB_CONFIG";
+pub const CONFIG_PATH_ENV: &str = "LB_CONFIG";
 
 /// The operators count a change of the node list as delivered after these times, whether or not it has arrived.
 const LIST_LEASE: ListLeaseConfig = ListLeaseConfig {
@@ -26,17 +26,17 @@
 };
 
 /// Contents of the config file: the config, the last known member list and the newest build's rollout stage.
-pub struct Start {
+pub struct PlatformConfig {
     pub config: Config,
-    pub known: members::Catalog,
-    pub news: Option<Stage>,
+    pub catalog: members::Catalog,
+    pub rollout_stage: Option<Stage>,
 }
 
 /// Parses the file's text. `file` is the name used in error messages.
 ///
 /// # Errors
 /// Returns the first error, with the file, the line or key, and what to write instead.
-pub fn read(file: &str, text: &str) -> Result<Start, String> {
+pub fn parse(file: &str, text: &str) -> Result<PlatformConfig, String> {
     let top: Value = serde_json::from_str(text).map_err(|e| {
         format!("{file}:{}:{}: this is not JSON ({e}): write one object", e.line(), e.column())
     })?;
@@ -50,7 +50,7 @@
         number => number.as_u64(),
     };
     let seed = seed.ok_or_else(|| invalid("seed", "up to 16 hexadecimal digits in quotes"))?;
-    let facts = ivydrift_facts::read_object(seed, &top["settings"])
+    let settings = ivydrift_facts::parse_json(seed, &top["settings"])
         .map_err(|error| format!("{file}: settings: {error}"))?;
     let addresses = Addresses {
         listen: address("listen", &top["listen"])?,
@@ -66,9 +66,9 @@
             .filter(|n| *n >= 64)
             .ok_or_else(|| invalid("limits.sockets", "a whole number of 64 or more"))?,
     };
-    let mut known = members::Catalog::default();
+    let mut catalog = members::Catalog::default();
     if !top["known"].is_null() {
-        known.take(&top["known"].to_string()).map_err(|error| format!("{file}: known: {error}"))?;
+        catalog.apply(&top["known"].to_string()).map_err(|error| format!("{file}: known: {error}"))?;
     }
     let news = match &top["pipeline"]["news"] {
         Value::Null => None,
@@ -76,14 +76,14 @@
             controller::stage_from_json(news).map_err(|error| format!("{file}: pipeline.news: {error}"))?,
         ),
     };
-    let Facts { terms: mut rollout, methods, tenants, zones, kinds, connect, .. } = facts;
+    let StartSettings { mut rollout, methods, tenants, zones, kinds, connect_timeout, .. } = settings;
     // The platform offers no channel between marshals.
     rollout.limits.peers = false;
     // Discovery does not push node lists either: `discovery` in the settings concerns the simulator, here the list is
     // always polled over HTTP.
     rollout.polls_discovery = true;
     rollout.rules.list_lease = Some(LIST_LEASE);
-    let limits = Limits::by_descriptors(sockets as usize, BODY, connect);
+    let limits = Limits::by_descriptors(sockets as usize, MAX_BODY_BYTES, connect_timeout);
     let regions = vec![0; zones.len()];
     let (methods, tenants) = (methods.iter().collect(), tenants.iter().collect());
     // The platform has a single service, so methods name none.
@@ -103,5 +103,5 @@
         regions,
         kinds,
     };
-    Ok(Start { config, known, news })
+    Ok(PlatformConfig { config, catalog, rollout_stage: news })
 }
