--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -434,7 +434,7 @@
         let request = codec::encode_call(call, time_left, previous_attempts, more);
         M::write(&mut connection, &request, deadline).map_err(|(n, e)| (n > 0, e))?;
         let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
-        let read = message::response(&mut buffer, MAX_ANSWER_BYTES, |buffer| {
+        let read = message::read_response(&mut buffer, MAX_ANSWER_BYTES, |buffer| {
             let n = M::read(&mut connection, &mut chunk, deadline)?;
             buffer.extend_from_slice(&chunk[..n]);
             Ok(n > 0)
--- a/crates/client/src/codec.rs
+++ b/crates/client/src/codec.rs
@@ -17,16 +17,16 @@
 ) -> Vec<u8> {
     let mut head = HeadWriter::request("POST", &format!("/{}", call.method))
         .field("host", "ivydrift")
-        .field(rpc::TIMEOUT, rpc::write_timeout(time_left))
+        .field(rpc::TIMEOUT, rpc::format_timeout(time_left))
         .field("content-length", call.body.len().to_string());
     if previous_attempts > 0 {
-        head = head.field(rpc::EARLIER_TRIES, previous_attempts.to_string());
+        head = head.field(rpc::PREVIOUS_ATTEMPTS, previous_attempts.to_string());
     }
     if let Some(token) = call.token {
-        head = head.field(rpc::TOKEN, token);
+        head = head.field(rpc::IDEMPOTENCY_KEY, token);
     }
     if let Some(key) = call.key {
-        head = head.field(rpc::KEY, key);
+        head = head.field(rpc::ROUTING_KEY, key);
     }
     for (name, value) in
         call.fields.iter().map(|f| (f.0, &f.1)).chain(extra_field.as_ref().map(|f| (f.0, &f.1)))
@@ -38,18 +38,18 @@
 
 /// Reads the span over which the marshal wants its clients to reconnect if it goes away.
 pub fn reconnect_spread(head: &Response) -> Option<Duration> {
-    head.fields.get(rpc::SPREAD_MS).and_then(|ms| ms.parse().ok()).map(Duration::from_millis)
+    head.fields.get(rpc::RECONNECT_SPREAD_MS).and_then(|ms| ms.parse().ok()).map(Duration::from_millis)
 }
 
 /// Decodes an answer. One without the marshal's answer field and with a status from 500 on counts as aborted.
 pub fn decode_answer(head: &Response, body: Vec<u8>) -> (Reply, Answer) {
     let number = |name| head.fields.get(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
-    let reply = match rpc::Kind::read(&head.fields) {
-        Some(rpc::Kind::Ok) => Reply::Ok,
-        Some(rpc::Kind::PushedBack) => Reply::PushedBack {
+    let reply = match rpc::AnswerKind::read(&head.fields) {
+        Some(rpc::AnswerKind::Ok) => Reply::Ok,
+        Some(rpc::AnswerKind::PushedBack) => Reply::PushedBack {
             retry_after: Duration::from_millis(number(rpc::RETRY_AFTER_MS).min(MAX_RETRY_AFTER_MS)),
         },
-        Some(rpc::Kind::Aborted) => Reply::Aborted,
+        Some(rpc::AnswerKind::Aborted) => Reply::Aborted,
         None if head.status < 500 => Reply::Rejected,
         // Sent by an intermediary, so the RPC may have run.
         None => Reply::Aborted,
--- a/crates/edge/src/clients/caller.rs
+++ b/crates/edge/src/clients/caller.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Command, Id, Input};
-use ivydrift_wire::body_framing::{Part, Walk};
-use ivydrift_wire::http::Refusal;
+use ivydrift_wire::body_framing::{BodyDecoder, Part};
+use ivydrift_wire::http::ParseError;
 
 use super::{TOO_LONG, TOO_SLOW, WRITE_TIMEOUT};
 use crate::exchange::{Answer, BodyRead, Caller};
@@ -16,7 +16,7 @@
 /// The part of a request body that is not buffered and still has to come from the client.
 pub struct RemainingBody {
     /// Position in the body's framing.
-    pub walk: Walk,
+    pub decoder: BodyDecoder,
     /// The client must have sent the whole body by this time.
     pub deadline: Instant,
     /// Bytes buffered, and bytes streamed to a node.
@@ -32,7 +32,7 @@
 pub enum ReadError {
     /// The client closed the connection or was silent for too long.
     Closed,
-    Refused(Refusal),
+    Refused(ParseError),
 }
 
 /// The client's side of an RPC while a pick is in progress.
@@ -72,7 +72,7 @@
             return self.stop(ReadError::Refused(TOO_SLOW));
         }
         let read = loop {
-            match self.remaining.walk.step(self.buf) {
+            match self.remaining.decoder.step(self.buf) {
                 Ok(Part::Data(n)) => {
                     if self.remaining.streamed == 0 {
                         self.report_body_read(Duration::ZERO);
@@ -83,11 +83,11 @@
                     }
                     break BodyRead::Data(self.buf.drain(..n).collect());
                 }
-                Ok(Part::Mark(n)) => {
+                Ok(Part::Framing(n)) => {
                     self.buf.drain(..n);
                 }
                 Ok(Part::End) => break BodyRead::End,
-                Ok(Part::Need) => {
+                Ok(Part::Incomplete) => {
                     let mut chunk = [0; 8192];
                     match self.socket.read(&mut chunk, Some((began + wait).min(self.remaining.deadline))) {
                         Ok(n) if n > 0 => self.buf.extend_from_slice(&chunk[..n]),
@@ -106,7 +106,7 @@
         for command in self.edge.dispatch(Input::AnswerBegan { id: self.id, pick: self.pick }, self.id) {
             if let Command::Pass { picks, build, .. } = command {
                 self.streaming = true;
-                let close = !(self.keep_alive && self.remaining.walk.ended());
+                let close = !(self.keep_alive && self.remaining.decoder.is_complete());
                 let head = answer.head_bytes(&self.edge.dialect, picks, build, close, self.edge.spread_ms());
                 return self.send_part(&head);
             }
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_wire::body_framing::{Part, Walk};
-use ivydrift_wire::http::{self, Framing, HeadWriter, Refusal, Request};
+use ivydrift_wire::body_framing::{BodyDecoder, Part};
+use ivydrift_wire::http::{self, Framing, HeadWriter, ParseError, Request};
 
 use crate::Edge;
 use caller::{ReadError, RemainingBody};
@@ -25,9 +25,11 @@
 /// A client that accepts no byte of its answer for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-const TOO_SLOW: Refusal = Refusal { status: 408, why: "the message took too long to arrive" };
-const TOO_LONG: Refusal =
-    Refusal { status: 413, why: "the body is longer than this marshal passes on (bounds.longest_body_kib)" };
+const TOO_SLOW: ParseError = ParseError { status: 408, reason: "the message took too long to arrive" };
+const TOO_LONG: ParseError = ParseError {
+    status: 413,
+    reason: "the body is longer than this marshal passes on (bounds.longest_body_kib)",
+};
 
 /// Accepts connections until shutdown closes the listener. Connections already in the backlog at that point
 /// were accepted by the kernel and may carry an RPC, so they are taken too; closing the listener would reset
@@ -86,7 +88,7 @@
     /// Close the connection; the answer may still be in transit.
     Close,
     /// The rest of the RPC could not be read.
-    Refuse(Refusal),
+    Refuse(ParseError),
 }
 
 impl Connection<'_> {
@@ -99,7 +101,7 @@
                 Err(ReadError::Closed) => return false,
                 Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
             };
-            let (body, walk) = match self.read_body_prefix(&request, first_byte_at) {
+            let (body, decoder) = match self.read_body_prefix(&request, first_byte_at) {
                 Ok(body) => body,
                 Err(ReadError::Closed) => return false,
                 Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
@@ -108,8 +110,8 @@
                 return false;
             }
             let keep = request.keep_alive && !self.edge.stopping();
-            if matches!(&*request.verb, "CONNECT" | "TRACE") {
-                return self.refuse(Refusal { status: 405, why: "this method is not for RPCs" });
+            if matches!(&*request.http_method, "CONNECT" | "TRACE") {
+                return self.refuse(ParseError { status: 405, reason: "this method is not for RPCs" });
             }
             if self.edge.dialect.is_health_check(&request) {
                 let status = if self.edge.is_ready() { 200 } else { 503 };
@@ -133,7 +135,7 @@
                 };
             let deadline = first_byte_at + self.edge.limits().message_timeout;
             let remaining = RemainingBody {
-                walk,
+                decoder,
                 deadline,
                 buffered: body.len() as u64,
                 streamed: 0,
@@ -186,7 +188,7 @@
                 first_byte_at = Some(Instant::now());
                 deadline = limit(Instant::now() + limits.message_timeout);
             }
-            match http::request(&self.buf) {
+            match http::parse_request(&self.buf) {
                 Ok(Some((request, used))) => {
                     self.buf.drain(..used);
                     return Ok((request, first_byte_at.unwrap_or_else(Instant::now)));
@@ -207,13 +209,13 @@
     /// Reads the body up to the buffered length. The walk continues with whatever is left of it.
     fn read_body_prefix(
         &mut self, request: &Request, first_byte_at: Instant,
-    ) -> Result<(Vec<u8>, Walk), ReadError> {
+    ) -> Result<(Vec<u8>, BodyDecoder), ReadError> {
         let limits = self.edge.limits();
         if matches!(request.framing, Framing::Length(n) if n > limits.max_body_bytes) {
             return Err(ReadError::Refused(TOO_LONG));
         }
-        let (mut walk, mut body) = (Walk::new(request.framing), Vec::new());
-        if request.expects_continue && !walk.ended() && self.buf.is_empty() {
+        let (mut decoder, mut body) = (BodyDecoder::new(request.framing), Vec::new());
+        if request.expects_continue && !decoder.is_complete() && self.buf.is_empty() {
             let deadline = Instant::now() + WRITE_TIMEOUT;
             if self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline).is_err() {
                 return Err(ReadError::Closed);
@@ -221,21 +223,21 @@
         }
         let deadline = first_byte_at + limits.message_timeout;
         loop {
-            match walk.step(&self.buf) {
+            match decoder.step(&self.buf) {
                 Ok(Part::Data(n)) => {
                     body.extend(self.buf.drain(..n));
                     if body.len() as u64 > limits.max_body_bytes {
                         return Err(ReadError::Refused(TOO_LONG));
                     }
-                    if body.len() > limits.buffered_body_bytes && !walk.ended() {
-                        return Ok((body, walk));
+                    if body.len() > limits.buffered_body_bytes && !decoder.is_complete() {
+                        return Ok((body, decoder));
                     }
                 }
-                Ok(Part::Mark(n)) => {
+                Ok(Part::Framing(n)) => {
                     self.buf.drain(..n);
                 }
-                Ok(Part::End) => return Ok((body, walk)),
-                Ok(Part::Need) => match self.read_more(deadline) {
+                Ok(Part::End) => return Ok((body, decoder)),
+                Ok(Part::Incomplete) => match self.read_more(deadline) {
                     Ok(true) => {}
                     Err(ErrorKind::TimedOut) => return Err(ReadError::Refused(TOO_SLOW)),
                     _ => return Err(ReadError::Closed),
@@ -246,13 +248,13 @@
     }
 
     /// Rejects a message and closes the connection, because the message boundary cannot be trusted.
-    fn refuse(&self, refusal: Refusal) -> bool {
+    fn refuse(&self, refusal: ParseError) -> bool {
         let head = HeadWriter::response(refusal.status)
             .field("content-type", "text/plain")
-            .field("content-length", (refusal.why.len() + 1).to_string())
+            .field("content-length", (refusal.reason.len() + 1).to_string())
             .field("connection", "close")
             .finish();
-        let bytes = [&head[..], refusal.why.as_bytes(), b"\n"].concat();
+        let bytes = [&head[..], refusal.reason.as_bytes(), b"\n"].concat();
         self.socket.write(&bytes, Instant::now() + WRITE_TIMEOUT).is_ok()
     }
 }
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -26,10 +26,16 @@
             let call = edge.dialect.call(&request.target, fields, left);
             edge.begin_rpc(id, client, Input::Rpc { id, call }).into()
         };
-        let Request { verb, target, fields, framing, .. } = request;
-        let framing = Some(framing).filter(|_| !remaining.walk.ended());
-        let outgoing =
-            OutgoingRequest { verb, target, fields, body, rest_framing: framing, via: edge.via.clone() };
+        let Request { http_method, target, fields, framing, .. } = request;
+        let framing = Some(framing).filter(|_| !remaining.decoder.is_complete());
+        let outgoing = OutgoingRequest {
+            http_method,
+            target,
+            fields,
+            body,
+            rest_framing: framing,
+            via: edge.via.clone(),
+        };
         let mut buffered: Option<(usize, Answer)> = None;
         let (mut keep_open, mut answered) = (keep_alive, false);
         let delivered = loop {
@@ -43,7 +49,8 @@
             };
             // An unread rest of the body would be parsed as the next RPC. Shutdown may also have begun in the
             // meantime.
-            keep_open = keep_alive && remaining.walk.ended() && !edge.stopping() && !edge.is_crowded();
+            keep_open =
+                keep_alive && remaining.decoder.is_complete() && !edge.stopping() && !edge.is_crowded();
             match command {
                 Command::Pick { .. } if client.disconnected.load(Ordering::Acquire) => {
                     commands.push_front(command);
@@ -147,7 +154,7 @@
             Some(ReadError::Refused(refusal)) => Served::Refuse(refusal),
             None if delivered
                 && keep_open
-                && remaining.walk.ended()
+                && remaining.decoder.is_complete()
                 && !client.disconnected.load(Ordering::Acquire) =>
             {
                 Served::KeepAlive
@@ -160,7 +167,7 @@
     pub(super) fn write_answer(&self, head: HeadWriter, text: &str, keep_open: bool) -> bool {
         let mut head = head.field("content-length", text.len().to_string());
         if let Some(ms) = self.edge.spread_ms() {
-            head = head.field(ivydrift_wire::rpc::SPREAD_MS, ms.to_string());
+            head = head.field(ivydrift_wire::rpc::RECONNECT_SPREAD_MS, ms.to_string());
         }
         if !keep_open {
             head = head.field("connection", "close");
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -9,7 +9,7 @@
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::rpc as platform_rpc;
 use ivydrift_platform::start::MAX_BODY_BYTES;
-use ivydrift_wire::http::{Fields, Framing, HeadWriter, Refusal, Request, Response};
+use ivydrift_wire::http::{Fields, Framing, HeadWriter, ParseError, Request, Response};
 use ivydrift_wire::orca::{self, Metrics};
 use ivydrift_wire::rpc;
 
@@ -39,10 +39,19 @@
 }
 
 /// Header fields that the marshal sets itself, or that only concern client and marshal.
-const NOT_FORWARDED: [&str; 7] = ["host", "via", rpc::TIMEOUT, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY];
+const NOT_FORWARDED: [&str; 7] =
+    ["host", "via", rpc::TIMEOUT, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::REASON];
 const NOT_FORWARDED_PLATFORM: [&str; 2] = ["host", platform_rpc::TIMEOUT];
-const NOT_RETURNED: [&str; 8] =
-    [orca::FIELD, rpc::ANSWER, rpc::PICKS, rpc::BUILD, rpc::WHY, rpc::NEVER_RAN, rpc::SPREAD_MS, "via"];
+const NOT_RETURNED: [&str; 8] = [
+    orca::LOAD_FIELD,
+    rpc::ANSWER,
+    rpc::PICKS,
+    rpc::BUILD,
+    rpc::REASON,
+    rpc::NEVER_RAN,
+    rpc::RECONNECT_SPREAD_MS,
+    "via",
+];
 const NOT_RETURNED_PLATFORM: [&str; 2] = [platform_rpc::LOAD, platform_rpc::NOT_PROCESSED];
 
 impl Dialect {
@@ -62,12 +71,12 @@
     /// Reads the client's timeout, if given, and claims the request id.
     pub fn read_timeout_and_id(
         &self, request: &Request, settings: &Settings,
-    ) -> Result<(Option<Duration>, Option<IdClaim<'_>>), Refusal> {
+    ) -> Result<(Option<Duration>, Option<IdClaim<'_>>), ParseError> {
         match self {
-            Dialect::Native => match request.fields.get(rpc::TIMEOUT).map(rpc::read_timeout) {
+            Dialect::Native => match request.fields.get(rpc::TIMEOUT).map(rpc::parse_timeout) {
                 None => Ok((None, None)),
                 Some(Ok(left)) => Ok((Some(left), None)),
-                Some(Err(why)) => Err(Refusal { status: 400, why }),
+                Some(Err(why)) => Err(ParseError { status: 400, reason: why }),
             },
             Dialect::Platform(platform) => {
                 let name = platform_rpc::method_of(&request.target);
@@ -75,7 +84,7 @@
                 let parsed = platform_rpc::validate_request(request, repeatable)?;
                 let why = "an RPC with this X-Request-ID was taken already";
                 let claim = platform.ids.claim(parsed.id, parsed.time_left.min(settings.longest_deadline));
-                let claim = claim.ok_or(Refusal { status: 409, why })?;
+                let claim = claim.ok_or(ParseError { status: 409, reason: why })?;
                 Ok((Some(parsed.time_left), Some(claim)))
             }
         }
@@ -85,12 +94,12 @@
     pub fn call<'a>(&self, target: &'a str, fields: &'a Fields, left: Option<Duration>) -> Call<'a> {
         match self {
             Dialect::Native => Call {
-                method: rpc::method_of(target),
+                method: rpc::method_from_target(target),
                 tenant: fields.get(rpc::TENANT),
-                key: fields.get(rpc::KEY).and_then(rpc::key_of),
-                has_idempotency_key: fields.get(rpc::TOKEN).is_some_and(|t| !t.is_empty()),
+                key: fields.get(rpc::ROUTING_KEY).and_then(rpc::parse_key),
+                has_idempotency_key: fields.get(rpc::IDEMPOTENCY_KEY).is_some_and(|t| !t.is_empty()),
                 time_left: left,
-                is_retry: fields.get(rpc::EARLIER_TRIES).is_some_and(|n| n != "0"),
+                is_retry: fields.get(rpc::PREVIOUS_ATTEMPTS).is_some_and(|n| n != "0"),
             },
             Dialect::Platform(_) => {
                 let (tenant, is_retry) = platform_rpc::tenant_and_retried(fields);
@@ -108,16 +117,17 @@
 
     /// The request head for a node, without its framing fields.
     pub fn request_head(
-        &self, verb: &str, target: &str, fields: &Fields, via: &str, node: SocketAddr, time_left: Duration,
+        &self, http_method: &str, target: &str, fields: &Fields, via: &str, node: SocketAddr,
+        time_left: Duration,
     ) -> HeadWriter {
-        let head = HeadWriter::request(verb, target).field("host", node.to_string());
+        let head = HeadWriter::request(http_method, target).field("host", node.to_string());
         match self {
             Dialect::Native => head
-                .pass(fields, &NOT_FORWARDED)
-                .field(rpc::TIMEOUT, rpc::write_timeout(time_left))
+                .copy_end_to_end(fields, &NOT_FORWARDED)
+                .field(rpc::TIMEOUT, rpc::format_timeout(time_left))
                 .field("via", via),
             Dialect::Platform(_) => head
-                .pass(fields, &NOT_FORWARDED_PLATFORM)
+                .copy_end_to_end(fields, &NOT_FORWARDED_PLATFORM)
                 .field(platform_rpc::TIMEOUT, platform_rpc::format_timeout(time_left)),
         }
     }
@@ -132,7 +142,7 @@
     pub fn interpret_response(&self, head: &Response) -> (u16, bool, Metrics) {
         match self {
             Dialect::Native => {
-                let load = head.fields.get(orca::FIELD).map(Metrics::read).unwrap_or_default();
+                let load = head.fields.get(orca::LOAD_FIELD).map(Metrics::read).unwrap_or_default();
                 (head.status, head.fields.get(rpc::NEVER_RAN) == Some("1"), load)
             }
             Dialect::Platform(_) => platform_rpc::interpret_response(head),
@@ -154,11 +164,11 @@
         let writer = HeadWriter::response(head.status);
         match self {
             Dialect::Native => writer
-                .pass(&head.fields, &NOT_RETURNED)
-                .field(rpc::ANSWER, rpc::Kind::Ok.as_str())
+                .copy_end_to_end(&head.fields, &NOT_RETURNED)
+                .field(rpc::ANSWER, rpc::AnswerKind::Ok.as_str())
                 .field(rpc::PICKS, picks.to_string())
                 .field(rpc::BUILD, build.to_string()),
-            Dialect::Platform(_) => writer.pass(&head.fields, &NOT_RETURNED_PLATFORM),
+            Dialect::Platform(_) => writer.copy_end_to_end(&head.fields, &NOT_RETURNED_PLATFORM),
         }
     }
 
@@ -168,7 +178,7 @@
     ) -> HeadWriter {
         match self {
             Dialect::Native => {
-                let head = answer_head(503, rpc::Kind::PushedBack, picks, why.as_str());
+                let head = answer_head(503, rpc::AnswerKind::PushedBack, picks, why.as_str());
                 match retry_after.filter(|wait| !wait.is_zero()) {
                     Some(wait) => head
                         .field("retry-after", wait.as_secs_f64().ceil().to_string())
@@ -184,16 +194,16 @@
     pub fn abort_head(&self, picks: usize, why: FailureReason) -> HeadWriter {
         let status = if why == FailureReason::TimedOut { 504 } else { 502 };
         match self {
-            Dialect::Native => answer_head(status, rpc::Kind::Aborted, picks, why.as_str()),
+            Dialect::Native => answer_head(status, rpc::AnswerKind::Aborted, picks, why.as_str()),
             Dialect::Platform(_) => HeadWriter::response(status),
         }
     }
 }
 
-fn answer_head(status: u16, kind: rpc::Kind, picks: usize, why: &str) -> HeadWriter {
+fn answer_head(status: u16, kind: rpc::AnswerKind, picks: usize, why: &str) -> HeadWriter {
     HeadWriter::response(status)
         .field("content-type", "text/plain")
         .field(rpc::ANSWER, kind.as_str())
         .field(rpc::PICKS, picks.to_string())
-        .field(rpc::WHY, why)
+        .field(rpc::REASON, why)
 }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::Observation;
-use ivydrift_wire::body_framing::{Part, Walk};
+use ivydrift_wire::body_framing::{BodyDecoder, Part};
 use ivydrift_wire::http::{self, Framing, Response};
 
 use crate::dialect::Dialect;
@@ -25,7 +25,7 @@
 
 /// The RPC as it is sent to any node.
 pub struct OutgoingRequest {
-    pub verb: String,
+    pub http_method: String,
     pub target: String,
     pub fields: http::Fields,
     /// The buffered part of the body; all of it if `rest_framing` is `None`.
@@ -40,11 +40,11 @@
     /// The request for this node as far as it is buffered.
     fn bytes(&self, dialect: &Dialect, node: SocketAddr, time_left: Duration) -> Vec<u8> {
         let mut head =
-            dialect.request_head(&self.verb, &self.target, &self.fields, &self.via, node, time_left);
+            dialect.request_head(&self.http_method, &self.target, &self.fields, &self.via, node, time_left);
         head = match self.rest_framing {
             Some(Framing::Length(n)) => head.field("content-length", n.to_string()),
             Some(_) => head.field("transfer-encoding", "chunked"),
-            None if self.body.is_empty() && matches!(&*self.verb, "GET" | "HEAD") => head,
+            None if self.body.is_empty() && matches!(&*self.http_method, "GET" | "HEAD") => head,
             None => head.field("content-length", self.body.len().to_string()),
         };
         let mut bytes = head.finish();
@@ -84,7 +84,7 @@
             (false, _) => head.field("content-length", self.body.len().to_string()),
         };
         if let Some(ms) = spread_ms {
-            head = head.field(ivydrift_wire::rpc::SPREAD_MS, ms.to_string());
+            head = head.field(ivydrift_wire::rpc::RECONNECT_SPREAD_MS, ms.to_string());
         }
         if close {
             head = head.field("connection", "close");
@@ -206,7 +206,7 @@
             deadline,
             streaming: false,
         };
-        let (observation, answer) = reader.answer(&rpc.verb, caller);
+        let (observation, answer) = reader.answer(&rpc.http_method, caller);
         let complete = matches!(observation, Observation::Answer { .. });
         if handle.is_cancelled() && !complete {
             return (Observation::Cancelled, None);
@@ -304,7 +304,7 @@
         // Interim responses (1xx) are skipped. The limit stops a node that sends nothing else.
         for _ in 0..8 {
             let head = loop {
-                match http::response(&self.buf, to_head) {
+                match http::parse_response(&self.buf, to_head) {
                     Ok(Some((head, used))) => {
                         self.buf.drain(..used);
                         break head;
@@ -325,8 +325,8 @@
     }
 
     /// Reads the whole answer. A long successful one is streamed to the client.
-    fn answer(&mut self, verb: &str, caller: &mut dyn Caller) -> (Observation, Option<Answer>) {
-        let head = match self.head(verb == "HEAD") {
+    fn answer(&mut self, http_method: &str, caller: &mut dyn Caller) -> (Observation, Option<Answer>) {
+        let head = match self.head(http_method == "HEAD") {
             Ok(head) => head,
             Err(Incomplete::Observation(observation)) => return (observation, None),
             Err(Incomplete::Unwanted) => return (Observation::Cancelled, None),
@@ -348,10 +348,10 @@
     fn body(
         &mut self, answer: &mut Answer, outcome: ivydrift_marshal::Outcome, caller: &mut dyn Caller,
     ) -> Result<(), Incomplete> {
-        let mut walk = Walk::new(answer.head.framing);
+        let mut decoder = BodyDecoder::new(answer.head.framing);
         let chunked = !matches!(answer.head.framing, Framing::Length(_));
         loop {
-            match walk.step(&self.buf) {
+            match decoder.step(&self.buf) {
                 Ok(Part::Data(n)) => {
                     let data: Vec<u8> = self.buf.drain(..n).collect();
                     if answer.streamed {
@@ -363,7 +363,7 @@
                         if answer.body.len() > max_bytes {
                             return Err(Incomplete::Observation(Observation::Malformed));
                         }
-                    } else if answer.body.len() > MAX_BUFFERED_ANSWER && !walk.ended() {
+                    } else if answer.body.len() > MAX_BUFFERED_ANSWER && !decoder.is_complete() {
                         if outcome != ivydrift_marshal::Outcome::Ok {
                             // The rest of a long error response is not needed: its status is known.
                             answer.head.keep_alive = false;
@@ -378,13 +378,13 @@
                         answer.body.clear();
                     }
                 }
-                Ok(Part::Mark(n)) => {
+                Ok(Part::Framing(n)) => {
                     self.buf.drain(..n);
                 }
                 Ok(Part::End) => break,
-                Ok(Part::Need) => {
+                Ok(Part::Incomplete) => {
                     if !self.read_more()? {
-                        if walk.closed() {
+                        if decoder.on_close() {
                             break;
                         }
                         return Err(Incomplete::Observation(Observation::Broken));
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -398,10 +398,11 @@
     /// Answers a query for this marshal's view of its peers.
     fn answer_peer_query(&self, socket: &UdpSocket, to: SocketAddr, first: u16) {
         let view = self.core.lock().unwrap().peers(self.now(), first);
-        let page = view.map(|(view, more)| peer::page(&view, &more));
-        let page = page.and_then(|page| peer::write(peer::Kind::View, self.marshal as u16, &page));
-        if let Some(page) = page {
-            let _ = socket.inner().send_to(&page, to);
+        let page = view.map(|(view, more)| peer::serialize_page(&view, &more));
+        let page = page
+            .and_then(|serialize_page| peer::write(peer::Kind::View, self.marshal as u16, &serialize_page));
+        if let Some(serialize_page) = page {
+            let _ = socket.inner().send_to(&serialize_page, to);
         }
     }
 
@@ -566,12 +567,14 @@
 /// Receives datagrams from peers. Never returns.
 fn receive_from_peers(edge: &Arc<Edge>) {
     let Some(socket) = &edge.peers else { return };
-    let mut datagram = [0; peer::DATAGRAM_BYTES + 1];
+    let mut datagram = [0; peer::MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut datagram) {
             Ok((n, from)) => {
                 let message = peer::read(&datagram[..n]);
-                let first = message.filter(|r| r.0 == peer::Kind::Question).and_then(|r| peer::asked(r.2));
+                let first = message
+                    .filter(|r| r.0 == peer::Kind::ViewQuery)
+                    .and_then(|r| peer::parse_view_query(r.2));
                 match first {
                     Some(first) => edge.answer_peer_query(socket, from, first),
                     None => drop(edge.dispatch(Input::PeerDatagram(&datagram[..n]), 0)),
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -10,7 +10,9 @@
 use ivydrift_platform::controller::{self, Line};
 use ivydrift_sockets::coroutine::{go, pause, restart_on_panic};
 use ivydrift_sockets::Socket;
-use ivydrift_wire::controller::{ControllerCounts, Counted, Disputed, News, Stage, Vote, VoteAnswer};
+use ivydrift_wire::controller::{
+    ControllerCounts, Counted, DisputeReport, RolloutUpdate, Stage, Vote, VoteAnswer,
+};
 
 use crate::dialect::Platform;
 use crate::query::backoff;
@@ -63,18 +65,20 @@
     }
 }
 
-fn make_news(stage: Option<Stage>, sums: Vec<ControllerCounts>, disputed: Vec<Disputed>) -> News {
-    News { index: 0, stage, sums, disputed }
+fn make_news(
+    stage: Option<Stage>, sums: Vec<ControllerCounts>, disputed: Vec<DisputeReport>,
+) -> RolloutUpdate {
+    RolloutUpdate { index: 0, stage, sums, disputed }
 }
 
 /// Converts an unsolicited line to an event for the core.
-fn news_from_line(platform: &Platform, line: Line) -> Option<News> {
+fn news_from_line(platform: &Platform, line: Line) -> Option<RolloutUpdate> {
     match line {
         Line::Stage(stage) => Some(make_news(Some(stage), vec![], vec![])),
         Line::Sums(sums) => Some(make_news(None, vec![sums], vec![])),
         Line::Disputed { unit, method, age_ms } => {
             let node = platform.catalog.lock().unwrap().address(&unit)?;
-            Some(make_news(None, vec![], vec![Disputed { node, method, age_ms }]))
+            Some(make_news(None, vec![], vec![DisputeReport { node, method, age_ms }]))
         }
         Line::Ok(_) | Line::Refused(_) | Line::KeepAlive => None,
     }
--- a/crates/edge/src/query.rs
+++ b/crates/edge/src/query.rs
@@ -102,7 +102,7 @@
     /// # Errors
     /// Anything but a complete answer of status 200.
     pub fn send(
-        &mut self, verb: &str, path: &str, body: &[u8], max_bytes: usize, timeout: Duration,
+        &mut self, http_method: &str, path: &str, body: &[u8], max_bytes: usize, timeout: Duration,
     ) -> Result<Reply, QueryError> {
         let deadline = Instant::now() + timeout;
         let mut socket = match self.socket.take().filter(Socket::quiet) {
@@ -110,10 +110,10 @@
             None => Socket::connect(self.to, timeout.min(CONNECT_TIMEOUT)).map_err(QueryError::Connect)?,
         };
         *self.handle.0.lock().unwrap() = Some(socket.look());
-        let bytes = self.request_bytes(verb, path, body);
+        let bytes = self.request_bytes(http_method, path, body);
         socket.write(&bytes, deadline).map_err(|(_, e)| QueryError::from_io(e))?;
         let (mut buf, mut chunk) = (Vec::new(), [0; 8192]);
-        let parsed = message::response(&mut buf, max_bytes, |buf| {
+        let parsed = message::read_response(&mut buf, max_bytes, |buf| {
             let n = socket.read(&mut chunk, Some(deadline))?;
             buf.extend_from_slice(&chunk[..n]);
             Ok(n > 0)
@@ -122,15 +122,15 @@
         if head.status != 200 {
             return Err(QueryError::Status(head.status));
         }
-        let index = head.fields.get(list::INDEX).and_then(|i| i.parse().ok());
+        let index = head.fields.get(list::INDEX_FIELD).and_then(|i| i.parse().ok());
         if head.keep_alive {
             self.socket = Some(socket);
         }
         Ok(Reply { index, body })
     }
 
-    fn request_bytes(&self, verb: &str, path: &str, body: &[u8]) -> Vec<u8> {
-        let mut bytes = HeadWriter::request(verb, path)
+    fn request_bytes(&self, http_method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+        let mut bytes = HeadWriter::request(http_method, path)
             .field("host", self.to.to_string())
             .field("user-agent", &self.user_agent)
             .field("content-length", body.len().to_string())
--- a/crates/edge/src/races.rs
+++ b/crates/edge/src/races.rs
@@ -10,8 +10,8 @@
 use ivydrift_marshal::{Call, Command, Input, Observation};
 use ivydrift_sockets::coroutine::go;
 use ivydrift_sockets::{Listener, Socket};
-use ivydrift_wire::controller::{News, RolloutState, Stage, Verdict, Vote};
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::controller::{RolloutState, RolloutUpdate, Stage, Verdict, Vote};
+use ivydrift_wire::list::{ListedNode, State};
 
 use crate::clients::{self, Client};
 use crate::dialect::{self, Dialect};
@@ -34,8 +34,8 @@
 }
 
 /// A discovery entry for a node of build 1.
-fn listed(node: SocketAddr, state: State) -> Listed {
-    Listed {
+fn listed(node: SocketAddr, state: State) -> ListedNode {
+    ListedNode {
         host: node.ip().to_string(),
         port: node.port(),
         state,
@@ -202,10 +202,16 @@
     let (_other, listener) = native();
     let node = listener.local_addr().unwrap();
     let observation = run_on_coroutine(move || {
-        let (request, _) = ivydrift_wire::http::request(RPC.as_bytes()).unwrap().unwrap();
-        let (verb, target, fields) = (request.verb, request.target, request.fields);
-        let outgoing =
-            OutgoingRequest { verb, target, fields, body: vec![], rest_framing: None, via: String::new() };
+        let (request, _) = ivydrift_wire::http::parse_request(RPC.as_bytes()).unwrap().unwrap();
+        let (http_method, target, fields) = (request.http_method, request.target, request.fields);
+        let outgoing = OutgoingRequest {
+            http_method,
+            target,
+            fields,
+            body: vec![],
+            rest_framing: None,
+            via: String::new(),
+        };
         let idle = Client::new(Socket::connect(node, ms(1000)).unwrap().look());
         // The pick's deadline has already passed, as it can after the process was stalled.
         let deadline = Instant::now();
@@ -245,10 +251,16 @@
     let withdrawn_at = Instant::now();
     let sending = edge.clone();
     let observation = run_on_coroutine(move || {
-        let (request, _) = ivydrift_wire::http::request(RPC.as_bytes()).unwrap().unwrap();
-        let (verb, target, fields) = (request.verb, request.target, request.fields);
-        let outgoing =
-            OutgoingRequest { verb, target, fields, body: vec![], rest_framing: None, via: String::new() };
+        let (request, _) = ivydrift_wire::http::parse_request(RPC.as_bytes()).unwrap().unwrap();
+        let (http_method, target, fields) = (request.http_method, request.target, request.fields);
+        let outgoing = OutgoingRequest {
+            http_method,
+            target,
+            fields,
+            body: vec![],
+            rest_framing: None,
+            via: String::new(),
+        };
         let idle = Client::new(Socket::connect(node, ms(1000)).unwrap().look());
         let (pool, dialect) = (&sending.pool, &sending.dialect);
         let admission = Attempt { edge: &sending, id: 1, node, deadline };
@@ -282,7 +294,7 @@
     edge.dispatch(Input::NodeList(&[listed(node, State::Ready)]), 0);
     let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
     edge.dispatch(
-        Input::RolloutUpdate(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }),
+        Input::RolloutUpdate(&RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }),
         0,
     );
     let call = Call {
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -10,7 +10,7 @@
 use ivydrift_platform::members::Catalog;
 use ivydrift_platform::start::PlatformConfig;
 use ivydrift_terms::{Addresses, Config};
-use ivydrift_wire::controller::News;
+use ivydrift_wire::controller::RolloutUpdate;
 
 use crate::dialect::{self, Dialect};
 use crate::guard::{Violations, WithheldCounts};
@@ -51,7 +51,7 @@
     let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(platform.catalog)))?;
     // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = platform.rollout_stage {
-        let news = News { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
+        let news = RolloutUpdate { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
         edge.dispatch(Input::RolloutUpdate(&news), 0);
     }
     if !known_nodes.is_empty() {
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -55,8 +55,8 @@
         if !claim.extend(hold + QUERY_SLACK + STUCK_AFTER) {
             return None;
         }
-        let path = list::path(service, index, hold.as_secs());
-        let answer = client.send("GET", &path, b"", list::LIST_BYTES, hold + QUERY_SLACK);
+        let path = list::query_target(service, index, hold.as_secs());
+        let answer = client.send("GET", &path, b"", list::MAX_LIST_BYTES, hold + QUERY_SLACK);
         let parsed =
             answer.map_err(|e| e.to_string()).and_then(|reply| Ok((reply.index, list::read(&reply.body)?)));
         let passed_on = edge.if_addresses_unchanged(address_generation, || {
@@ -103,12 +103,16 @@
         let mut client = QueryClient::with_handle(&held.controller_query, controller_addr, edge.marshal);
         let (mut index, mut failures) = (0, 0);
         while !edge.stopping() {
-            let path =
-                controller::path(index, CONTROLLER_HOLD.as_secs(), edge.marshal, held.service.as_deref());
+            let path = controller::stage_query_target(
+                index,
+                CONTROLLER_HOLD.as_secs(),
+                edge.marshal,
+                held.service.as_deref(),
+            );
             let answer =
-                client.send("GET", &path, b"", controller::NEWS_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
+                client.send("GET", &path, b"", controller::MAX_MESSAGE_BYTES, CONTROLLER_HOLD + QUERY_SLACK);
             let parsed =
-                answer.map_err(|e| e.to_string()).and_then(|reply| controller::read_news(&reply.body));
+                answer.map_err(|e| e.to_string()).and_then(|reply| controller::parse_update(&reply.body));
             let passed_on = edge.if_addresses_unchanged(address_generation, || {
                 parsed
                     .iter()
@@ -179,8 +183,12 @@
             // The core waits for the answer to a later vote, but what this answer says about the build is
             // still valid.
             if let Ballot::Answered(answer) = ballot {
-                let news =
-                    controller::News { index: 0, stage: Some(answer.stage), sums: vec![], disputed: vec![] };
+                let news = controller::RolloutUpdate {
+                    index: 0,
+                    stage: Some(answer.stage),
+                    sums: vec![],
+                    disputed: vec![],
+                };
                 edge.dispatch_for(held.service_id, Input::RolloutUpdate(&news), 0);
             }
             vote = later;
@@ -194,9 +202,9 @@
     let body = controller::write(&controller::ServiceVote { vote: *vote, service });
     let settings = edge.settings();
     let mut client = QueryClient::new(settings.addresses.rollout_controller, edge.marshal);
-    let answer = client.send("POST", "/v1/votes", &body, controller::NEWS_BYTES, settings.vote_wait);
+    let answer = client.send("POST", "/v1/votes", &body, controller::MAX_MESSAGE_BYTES, settings.vote_wait);
     match answer {
-        Ok(reply) => match controller::read_vote_answer(&reply.body) {
+        Ok(reply) => match controller::parse_vote_answer(&reply.body) {
             Ok(answer) => Ballot::Answered(answer),
             Err(_) => Ballot::Failed,
         },
--- a/crates/ivydrift/src/peers.rs
+++ b/crates/ivydrift/src/peers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use ivydrift_wire::peer::{self, Kind, More, Row, View};
+use ivydrift_wire::peer::{self, Kind, Row, View, ViewExtension};
 use serde_json::{json, Value};
 
 /// Time after which an unanswered request for a page is repeated.
@@ -44,7 +44,7 @@
 
 /// Returns the head of the first page, the rows of all pages and, if the marshal sends it, the data on protocol
 /// levels and programs that follows the rows.
-fn fetch_view(address: SocketAddr) -> io::Result<(View, Vec<Row>, Option<More>)> {
+fn fetch_view(address: SocketAddr) -> io::Result<(View, Vec<Row>, Option<ViewExtension>)> {
     let local_addr: IpAddr =
         if address.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { Ipv6Addr::UNSPECIFIED.into() };
     let socket = UdpSocket::bind((local_addr, 0))?;
@@ -67,13 +67,13 @@
 }
 
 /// Requests the page that starts with row `first`.
-fn fetch_page(socket: &UdpSocket, first: u16) -> io::Result<(View, Option<More>)> {
+fn fetch_page(socket: &UdpSocket, first: u16) -> io::Result<(View, Option<ViewExtension>)> {
     let no_answer =
         "no answer: check that this is the marshal's own address in peers, and that its config lists peers";
     let mut error = io::Error::new(ErrorKind::TimedOut, no_answer);
     for _ in 0..MAX_REQUESTS {
         let deadline = Instant::now() + PAGE_TIMEOUT;
-        if let Err(e) = socket.send(&peer::question(first)) {
+        if let Err(e) = socket.send(&peer::view_query(first)) {
             error = io::Error::new(e.kind(), format!("no process listens on this address ({e})"));
             std::thread::sleep(PAGE_TIMEOUT / 4);
             continue;
@@ -82,7 +82,7 @@
             deadline.checked_duration_since(Instant::now()).filter(|time_left| !time_left.is_zero())
         {
             socket.set_read_timeout(Some(time_left))?;
-            let mut datagram = [0; peer::DATAGRAM_BYTES + 1];
+            let mut datagram = [0; peer::MAX_DATAGRAM_BYTES + 1];
             let n = match socket.recv(&mut datagram) {
                 Ok(n) => n,
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
@@ -93,9 +93,10 @@
                 Err(_) => break,
             };
             let message = peer::read(&datagram[..n]).filter(|r| r.0 == Kind::View);
-            let view = message.and_then(|r| peer::unpack_first::<View>(r.2)).filter(|v| v.0.first == first);
+            let view =
+                message.and_then(|r| peer::deserialize_prefix::<View>(r.2)).filter(|v| v.0.first == first);
             if let Some((view, rest)) = view {
-                return Ok((view, peer::unpack(rest)));
+                return Ok((view, peer::deserialize(rest)));
             }
         }
     }
@@ -107,7 +108,7 @@
 }
 
 /// Formats the view as a table.
-fn format_table(view: &View, rows: &[Row], extension: Option<&More>) -> String {
+fn format_table(view: &View, rows: &[Row], extension: Option<&ViewExtension>) -> String {
     let level_note = extension.map_or(String::new(), |m| {
         let incompatible =
             if m.apart { "; a marshal without a common protocol level is present" } else { "" };
@@ -158,11 +159,11 @@
 }
 
 /// Returns the protocol level and the program that the marshal of this row reports.
-fn reported(extension: Option<&More>, row: usize) -> Option<&(u8, String)> {
+fn reported(extension: Option<&ViewExtension>, row: usize) -> Option<&(u8, String)> {
     extension?.rows.get(row)?.as_ref()
 }
 
-fn to_json(view: &View, rows: &[Row], extension: Option<&More>) -> Value {
+fn to_json(view: &View, rows: &[Row], extension: Option<&ViewExtension>) -> Value {
     let row = |(i, r): (usize, &Row)| {
         json!({
             "speaks": reported(extension, i).map_or(0, |s| s.0), "program": reported(extension, i).map(|s| &s.1),
--- a/crates/marshal/examples/names.rs
+++ b/crates/marshal/examples/names.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Command, Core, Input, Observation};
-use ivydrift_wire::controller::{News, RolloutState, Stage};
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::controller::{RolloutState, RolloutUpdate, Stage};
+use ivydrift_wire::list::{ListedNode, State};
 use ivydrift_wire::orca::Metrics;
 
 /// Resident memory of this process in MB; NaN if the system does not report it.
@@ -16,8 +16,8 @@
     pages * 4096.0 / 1e6
 }
 
-fn node(i: u16) -> Listed {
-    Listed {
+fn node(i: u16) -> ListedNode {
+    ListedNode {
         host: format!("127.0.{}.1", i >> 8),
         port: 10_000 + i,
         state: State::Ready,
@@ -45,7 +45,7 @@
     let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
     core.handle(
         now,
-        Input::RolloutUpdate(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }),
+        Input::RolloutUpdate(&RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }),
     );
     let after_start = resident_mb();
     let observation = Observation::Answer { status: 200, never_ran: false, load: Metrics::default() };
--- a/crates/marshal/examples/node_list.rs
+++ b/crates/marshal/examples/node_list.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use ivydrift_marshal::{Call, Command, Core, Input, Observation};
-use ivydrift_wire::controller::{News, RolloutState, Stage};
-use ivydrift_wire::list::{self, Listed, State};
+use ivydrift_wire::controller::{RolloutState, RolloutUpdate, Stage};
+use ivydrift_wire::list::{self, ListedNode, State};
 use ivydrift_wire::orca::Metrics;
 
-fn node(i: usize) -> Listed {
-    Listed {
+fn node(i: usize) -> ListedNode {
+    ListedNode {
         host: format!("10.{}.{}.{}", i >> 16, i >> 8 & 255, i & 255),
         port: 8000,
         state: State::Ready,
@@ -38,9 +38,9 @@
             let mut now = Duration::from_secs(86_400);
             let stage =
                 Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
-            let news = News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
+            let news = RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
             core.handle(now, Input::RolloutUpdate(&news));
-            let mut listed: Vec<Listed> = (0..count).map(node).collect();
+            let mut listed: Vec<ListedNode> = (0..count).map(node).collect();
             let timer_start = Instant::now();
             core.handle(now, Input::NodeList(&listed));
             let first_list_ms = timer_start.elapsed().as_secs_f64() * 1e3;
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -7,8 +7,8 @@
 
 use ivydrift_marshal::{Call, Command, Core, Id, Input, Observation, Output, Services};
 use ivydrift_terms::{Config, EXAMPLE};
-use ivydrift_wire::controller::{News, RolloutState, Stage};
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::controller::{RolloutState, RolloutUpdate, Stage};
+use ivydrift_wire::list::{ListedNode, State};
 use ivydrift_wire::orca::Metrics;
 
 const NODES: u16 = 16;
@@ -17,8 +17,8 @@
     Metrics { cpu_utilization: None, rps: None, eps: None, queue: None, in_flight: None, latency_ms: None };
 const OK: Observation = Observation::Answer { status: 200, never_ran: false, load: NO_LOAD };
 
-fn nodes(service: usize) -> Vec<Listed> {
-    let node = |n| Listed {
+fn nodes(service: usize) -> Vec<ListedNode> {
+    let node = |n| ListedNode {
         host: format!("10.1.{}.{}", service / 250, service % 250),
         port: 9000 + n,
         state: State::Ready,
@@ -122,7 +122,12 @@
         let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
         self.feed(
             instance,
-            Input::RolloutUpdate(&News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }),
+            Input::RolloutUpdate(&RolloutUpdate {
+                index: 1,
+                stage: Some(stage),
+                sums: vec![],
+                disputed: vec![],
+            }),
         );
     }
 
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -10,7 +10,7 @@
 
 use ivydrift_policy::port::*;
 use ivydrift_terms::Config;
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::list::{ListedNode, State};
 
 use crate::wall_clock::WallClock;
 use subset::Subset;
@@ -185,7 +185,7 @@
     /// Turns a complete list into the change since the last one. A node that is listed twice gets the more
     /// cautious value of each field: draining if either says so, the later build (which may be on trial) and
     /// the later start.
-    pub fn apply_list(&mut self, now: Duration, clock: &WallClock, listed: &[Listed]) -> Vec<Event> {
+    pub fn apply_list(&mut self, now: Duration, clock: &WallClock, listed: &[ListedNode]) -> Vec<Event> {
         self.rejected.clear();
         let mut current: Vec<(SocketAddr, NodeEntry)> = Vec::with_capacity(listed.len());
         let mut positions = HashMap::with_capacity(listed.len());
@@ -299,7 +299,9 @@
     }
 
     /// Converts a list entry; its index is assigned later.
-    fn entry(&self, now: Duration, clock: &WallClock, addr: SocketAddr, listed_node: &Listed) -> NodeEntry {
+    fn entry(
+        &self, now: Duration, clock: &WallClock, addr: SocketAddr, listed_node: &ListedNode,
+    ) -> NodeEntry {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let reported_before =
             self.starts.get(&addr).filter(|reported| reported.unix_ms == listed_node.started_ms);
@@ -337,7 +339,7 @@
 }
 
 /// The node's socket address; `None` for a host name, as there is no DNS lookup here.
-fn address(listed_node: &Listed) -> Option<SocketAddr> {
+fn address(listed_node: &ListedNode) -> Option<SocketAddr> {
     Some(SocketAddr::new(listed_node.host.parse().ok()?, listed_node.port))
 }
 
--- a/crates/marshal/src/directory/tests.rs
+++ b/crates/marshal/src/directory/tests.rs
@@ -5,7 +5,7 @@
     let config = ivydrift_terms::parse("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
     let mut directory = Directory::new(&config);
     for round in 0..500u16 {
-        let node = |i| Listed {
+        let node = |i| ListedNode {
             host: "127.0.0.1".into(),
             port: 10_000 + 4 * round + i,
             state: State::Ready,
@@ -16,7 +16,7 @@
             power: 1.0,
             started_ms: None,
         };
-        let list: Vec<Listed> = (0..4).map(node).collect();
+        let list: Vec<ListedNode> = (0..4).map(node).collect();
         let now = Duration::from_secs(30 * u64::from(round));
         let [Event::Nodes { nodes, .. }] = &directory.apply_list(now, &WallClock::new(0), &list)[..] else {
             panic!("not a list")
@@ -39,8 +39,8 @@
     let text = ivydrift_terms::EXAMPLE.replacen("deadline = \"3s\"", "deadline = \"300s\"", 1);
     let text = text.replace("of = 1", "of = 50") + "\nsubset {\n  least = 8\n}\n";
     let mut directory = Directory::new(&ivydrift_terms::parse("example.hcl", &text).unwrap());
-    let list = |ports: std::ops::Range<u16>| -> Vec<Listed> {
-        let node = |port| Listed {
+    let list = |ports: std::ops::Range<u16>| -> Vec<ListedNode> {
+        let node = |port| ListedNode {
             host: "127.0.0.1".into(),
             port,
             state: State::Ready,
@@ -79,7 +79,7 @@
     let config = ivydrift_terms::parse("example.hcl", ivydrift_terms::EXAMPLE).unwrap();
     let mut directory = Directory::new(&config);
     let (now, zero) = (Duration::from_secs(90_000), 1_700_000_000_000);
-    let node = |port: u16, started_ms: u64| Listed {
+    let node = |port: u16, started_ms: u64| ListedNode {
         host: "127.0.0.1".to_owned(),
         port,
         state: State::Ready,
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -266,7 +266,7 @@
 
     /// Returns one page of this marshal's view of the others, from row `first`; `None` where the config
     /// allows no peers.
-    pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::More)> {
+    pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::ViewExtension)> {
         self.peers.as_ref().map(|p| p.view(now, first))
     }
 
@@ -447,9 +447,9 @@
 }
 
 /// This marshal's record for the others, without its RPC rate.
-fn own_record(config: &Config, directory: &Directory) -> peer::About {
+fn own_record(config: &Config, directory: &Directory) -> peer::PeerStatus {
     let zone = config.rollout.zone;
     let region = config.regions.get(zone).copied().unwrap_or(0);
     let ready = directory.ready().min(u16::MAX.into()) as u16;
-    peer::About { zone: zone as u16, region: region as u16, rate: 0.0, ready }
+    peer::PeerStatus { zone: zone as u16, region: region as u16, rate: 0.0, ready }
 }
--- a/crates/marshal/src/messages.rs
+++ b/crates/marshal/src/messages.rs
@@ -104,15 +104,15 @@
     /// The client disconnected.
     ClientLeft { id: Id },
     /// A complete node list from discovery.
-    NodeList(&'a [list::Listed]),
+    NodeList(&'a [list::ListedNode]),
     /// The node list saved before the restart; it may be out of date.
-    CachedNodeList(&'a [list::Listed]),
+    CachedNodeList(&'a [list::ListedNode]),
     /// The node list subscription broke, or could not be established.
     NodeListLost,
     /// State of discovery, as seen by a call to it.
     Discovery(DiscoverySignal),
     /// An update from the rollout controller.
-    RolloutUpdate(&'a controller::News),
+    RolloutUpdate(&'a controller::RolloutUpdate),
     /// The rollout controller's answer to this marshal's vote.
     VoteAnswered(Ballot),
     /// A datagram from another marshal.
--- a/crates/marshal/src/peers.rs
+++ b/crates/marshal/src/peers.rs
@@ -6,7 +6,7 @@
 use ivydrift_commons::sections::{Sections, PROGRAM, SPEECH};
 use ivydrift_members::{Input, Members, Out, Pace, State};
 use ivydrift_terms::Config;
-use ivydrift_wire::peer::{self, About, Kind, More, Row, View};
+use ivydrift_wire::peer::{self, Kind, PeerStatus, Row, View, ViewExtension};
 
 use crate::Command;
 
@@ -76,7 +76,9 @@
     }
 
     /// `about`: this marshal's record without its RPC rate; `rpcs_accepted`: RPCs accepted since the start.
-    pub fn tick(&mut self, now: Duration, about: impl Fn() -> About, rpcs_accepted: u64) -> Vec<Command> {
+    pub fn tick(
+        &mut self, now: Duration, about: impl Fn() -> PeerStatus, rpcs_accepted: u64,
+    ) -> Vec<Command> {
         let mut commands = Vec::new();
         if now >= self.last_published + PUBLISH_INTERVAL {
             let span = now.saturating_sub(self.last_published.max(self.begun)).as_secs_f64().max(0.001);
@@ -84,9 +86,9 @@
             (self.last_published, self.rpcs_at_publish) = (now, rpcs_accepted);
             // First the fields of the first program version, then the sections; together far below the record
             // size limit.
-            let _ = self
-                .members
-                .publish([peer::pack(&About { rate, ..about() }), self.own_sections.write()].concat());
+            let _ = self.members.publish(
+                [peer::serialize(&PeerStatus { rate, ..about() }), self.own_sections.write()].concat(),
+            );
             commands.extend(self.update_level(now));
         }
         let outs = if now >= self.members.due() { self.members.handle(now, Input::Tick) } else { vec![] };
@@ -142,7 +144,7 @@
 
     /// One page of this marshal's view of the membership, from row `first`, and the sections of the same
     /// rows.
-    pub fn view(&self, now: Duration, first: u16) -> (View, More) {
+    pub fn view(&self, now: Duration, first: u16) -> (View, ViewExtension) {
         let ms = |span: Duration| span.as_millis() as u64;
         let row = |v: ivydrift_members::View| Row {
             number: v.number,
@@ -150,10 +152,10 @@
             life: v.life,
             since: ms(v.since),
             heard: v.heard.map(ms),
-            about: v.record.and_then(|(bytes, _, age)| Some((peer::unpack(bytes)?, ms(age)))),
+            about: v.record.and_then(|(bytes, _, age)| Some((peer::deserialize(bytes)?, ms(age)))),
         };
         let age = now.saturating_sub(self.begun).as_secs_f64().max(0.001);
-        let shown = || self.members.view(now).skip(first.into()).take(peer::ROWS);
+        let shown = || self.members.view(now).skip(first.into()).take(peer::ROWS_PER_PAGE);
         let sections_of = |v: ivydrift_members::View| {
             let (bytes, _, age) = v.record?;
             let sections = sections(bytes)?;
@@ -161,7 +163,7 @@
             Some((protocol_levels(bytes, age).most, program.unwrap_or_default()))
         };
         let rows = shown().map(sections_of).collect();
-        let more = More { level: self.level.get(), apart: self.level.apart(), rows };
+        let more = ViewExtension { level: self.level.get(), apart: self.level.apart(), rows };
         let view = View {
             number: self.number,
             of: self.count,
@@ -176,7 +178,7 @@
 
 /// The sections that follow the fields of a record; `None` from a program version that writes none.
 fn sections(record: &[u8]) -> Option<Sections> {
-    Sections::read(peer::unpack_first::<About>(record)?.1)
+    Sections::read(peer::deserialize_prefix::<PeerStatus>(record)?.1)
 }
 
 fn protocol_levels(record: &[u8], age: Duration) -> Speech {
@@ -194,8 +196,8 @@
         Duration::from_millis(n)
     }
 
-    fn about() -> About {
-        About { zone: 1, region: 0, rate: 12.5, ready: 9 }
+    fn about() -> PeerStatus {
+        PeerStatus { zone: 1, region: 0, rate: 12.5, ready: 9 }
     }
 
     /// A marshal of this program version, and one of the earlier version, whose records have no sections.
@@ -224,7 +226,7 @@
                 let mut commands = self.new.tick(self.now, about, 0);
                 let mut outs = vec![];
                 if self.old_running {
-                    self.old.publish(peer::pack(&about())).unwrap();
+                    self.old.publish(peer::serialize(&about())).unwrap();
                     outs = if self.now >= self.old.due() {
                         self.old.handle(self.now, Input::Tick)
                     } else {
@@ -261,9 +263,9 @@
         versions.run(ms(60_000));
         let seen = versions.old.view(versions.now).find(|v| v.number == 0).unwrap();
         let (record, ..) = seen.record.unwrap();
-        let ours = About { rate: 0.0, ..about() };
+        let ours = PeerStatus { rate: 0.0, ..about() };
         assert_eq!(
-            (seen.state, peer::unpack::<About>(record)),
+            (seen.state, peer::deserialize::<PeerStatus>(record)),
             (State::Alive, Some(ours)),
             "as the earlier version reads them"
         );
--- a/crates/marshal/src/rollout.rs
+++ b/crates/marshal/src/rollout.rs
@@ -55,7 +55,7 @@
 
 impl Core {
     pub(crate) fn apply_rollout_update(
-        &mut self, now: Duration, news: &controller::News, events: &mut Vec<Event>,
+        &mut self, now: Duration, news: &controller::RolloutUpdate, events: &mut Vec<Event>,
     ) {
         let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
         events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unsolicited)));
--- a/crates/marshal/src/services.rs
+++ b/crates/marshal/src/services.rs
@@ -165,7 +165,7 @@
     }
 
     /// One page of this marshal's view of the others, see [`Core::peers`].
-    pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::More)> {
+    pub fn peers(&self, now: Duration, first: u16) -> Option<(peer::View, peer::ViewExtension)> {
         self.primary.peers(now, first)
     }
 
--- a/crates/marshal/src/services/capacity.rs
+++ b/crates/marshal/src/services/capacity.rs
@@ -1,7 +1,7 @@
 //! Decides which services are held, within the limits on their number and memory.
 
 use super::*;
-use ivydrift_wire::list::Listed;
+use ivydrift_wire::list::ListedNode;
 
 /// Estimated memory of a new service without nodes, in bytes.
 const NEW_SERVICE_BYTES: usize = 12 * 1024;
@@ -59,7 +59,7 @@
     /// because draining nodes and new builds must be known; other services are then evicted as far as they
     /// may be.
     pub(super) fn apply_list(
-        &mut self, now: Duration, instance_id: InstanceId, nodes: &[Listed], outputs: &mut Vec<Output>,
+        &mut self, now: Duration, instance_id: InstanceId, nodes: &[ListedNode], outputs: &mut Vec<Output>,
     ) {
         let Some(instance) = self.instances.get(&instance_id) else { return };
         if !instance.list_received {
--- a/crates/measure/src/apps.rs
+++ b/crates/measure/src/apps.rs
@@ -329,25 +329,25 @@
             stats.attempts.fetch_add(1, Ordering::Relaxed);
             let head = HeadWriter::request("POST", &format!("/{method}"))
                 .field("host", "own")
-                .field(rpc::TIMEOUT, rpc::write_timeout(left))
+                .field(rpc::TIMEOUT, rpc::format_timeout(left))
                 .field("content-length", id.len().to_string());
             let bytes = [&head.finish()[..], id.as_bytes()].concat();
             let (mut buf, mut chunk) = (Vec::new(), [0; 2048]);
             let read = socket.write(&bytes, deadline).map_err(|e| e.1).and_then(|()| {
-                message::response(&mut buf, 1 << 20, |buf| {
+                message::read_response(&mut buf, 1 << 20, |buf| {
                     let n = socket.read(&mut chunk, Some(deadline))?;
                     buf.extend_from_slice(&chunk[..n]);
                     Ok(n > 0)
                 })
             });
-            last_error = match read.map(|(head, _)| (head.keep_alive, rpc::Kind::read(&head.fields))) {
+            last_error = match read.map(|(head, _)| (head.keep_alive, rpc::AnswerKind::read(&head.fields))) {
                 Ok((keep_alive, kind)) => {
                     if keep_alive {
                         self.idle.lock().unwrap().push(socket);
                     }
                     match kind {
-                        Some(rpc::Kind::Ok) => return Ok(()),
-                        Some(rpc::Kind::PushedBack) => Error::PushedBack { local: false },
+                        Some(rpc::AnswerKind::Ok) => return Ok(()),
+                        Some(rpc::AnswerKind::PushedBack) => Error::PushedBack { local: false },
                         _ => Error::Aborted,
                     }
                 }
--- a/crates/measure/src/client.rs
+++ b/crates/measure/src/client.rs
@@ -24,7 +24,7 @@
     let started = Instant::now();
     stream.write_all(b"POST /calendar-read HTTP/1.1\r\nHost: m\r\nContent-Length: 1\r\n\r\nx")?;
     let mut chunk = [0; 4096];
-    message::response(&mut Vec::new(), 4096, |buf| {
+    message::read_response(&mut Vec::new(), 4096, |buf| {
         let n = stream.read(&mut chunk)?;
         buf.extend_from_slice(&chunk[..n]);
         Ok(n > 0)
--- a/crates/measure/src/node.rs
+++ b/crates/measure/src/node.rs
@@ -11,14 +11,14 @@
 use ivydrift_sockets::coroutine::{go, pause, prepare};
 use ivydrift_sockets::Socket;
 use ivydrift_wire::http::{self, HeadWriter};
-use ivydrift_wire::list::{self, Listed, State};
+use ivydrift_wire::list::{self, ListedNode, State};
 use ivydrift_wire::{message, rpc};
 use may::net::TcpListener;
 
 /// Reads one request with its body; `None` at the end of the connection.
 pub fn read_request(socket: &mut Socket, buf: &mut Vec<u8>) -> Option<(http::Request, Vec<u8>)> {
     let mut chunk = [0; 4096];
-    let read = message::request(buf, 1 << 20, |buf| {
+    let read = message::read_request(buf, 1 << 20, |buf| {
         let n = socket.read(&mut chunk, None)?;
         buf.extend_from_slice(&chunk[..n]);
         Ok(n > 0)
@@ -73,7 +73,7 @@
     let mut stream = std::net::TcpStream::connect(node_list)?;
     stream.write_all(b"GET /counted HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n")?;
     let mut chunk = [0; 512];
-    let (_, body) = message::response(&mut Vec::new(), 512, |buf| {
+    let (_, body) = message::read_response(&mut Vec::new(), 512, |buf| {
         let n = stream.read(&mut chunk)?;
         buf.extend_from_slice(&chunk[..n]);
         Ok(n > 0)
@@ -133,7 +133,7 @@
             }
         })?);
     }
-    let list_entry = |a: &SocketAddr| Listed {
+    let list_entry = |a: &SocketAddr| ListedNode {
         host: a.ip().to_string(),
         port: a.port(),
         state: State::Ready,
@@ -163,7 +163,7 @@
                 _ => news,
             };
             let head = HeadWriter::response(200)
-                .field(list::INDEX, "1")
+                .field(list::INDEX_FIELD, "1")
                 .field("content-length", body.len().to_string())
                 .finish();
             let bytes = [&head[..], body].concat();
--- a/crates/measure/src/scale/bursts.rs
+++ b/crates/measure/src/scale/bursts.rs
@@ -24,8 +24,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Bytes of one request as the edge sends it.
-fn request_bytes(verb: &str, path: &str, body: usize) -> usize {
-    let head = HeadWriter::request(verb, path)
+fn request_bytes(http_method: &str, path: &str, body: usize) -> usize {
+    let head = HeadWriter::request(http_method, path)
         .field("host", "10.0.0.1:7001")
         .field("user-agent", format!("ivydrift/{} marshal-3699", env!("CARGO_PKG_VERSION")))
         .field("content-length", body.to_string())
@@ -54,7 +54,7 @@
     });
     let vote = Vote { marshal: 3699, verdict: controller::Verdict::Back, stage: 0, build: 312 };
     Sizes {
-        list_request: request_bytes("GET", &list::path("shop", 123_456, 10), 0),
+        list_request: request_bytes("GET", &list::query_target("shop", 123_456, 10), 0),
         news_request: request_bytes("GET", "/v1/stage?index=123456&wait=5s&marshal=3699", 0),
         news: controller::write(&news).len(),
         vote: request_bytes("POST", "/v1/votes", controller::write(&vote).len()),
@@ -195,7 +195,7 @@
         row("a region's marshals return after an hour", lists, lists, 1.0 / REGIONS as f64);
     }
     table.note(format!("A peak minute has {PEAK_FACTOR:.0} times the mean of a day's {CHANGES_PER_DAY:.0} changes. At least: all changes of a list within the span in one answer; at most: one answer each, which no marshal can take where lists are long. To one marshal: at least, to each that it reaches."));
-    table.note(format!("The wire takes lists of {} nodes and {} bytes at most: one of {NODES} nodes, {} bytes, is refused whole today.", whole(list::LIST_NODES as f64), whole(list::LIST_BYTES as f64), whole(list::write(&core_harness::node_list(NODES)).len() as f64)));
+    table.note(format!("The wire takes lists of {} nodes and {} bytes at most: one of {NODES} nodes, {} bytes, is refused whole today.", whole(list::MAX_LIST_NODES as f64), whole(list::MAX_LIST_BYTES as f64), whole(list::write(&core_harness::node_list(NODES)).len() as f64)));
     table
 }
 
--- a/crates/measure/src/scale/core_harness.rs
+++ b/crates/measure/src/scale/core_harness.rs
@@ -8,8 +8,8 @@
 
 use ivydrift_marshal::{Call, Command, Core, Id, Input, Observation};
 use ivydrift_terms::Config;
-use ivydrift_wire::controller::{News, RolloutState, Stage};
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::controller::{RolloutState, RolloutUpdate, Stage};
+use ivydrift_wire::list::{ListedNode, State};
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -67,9 +67,9 @@
 }
 
 /// The node list entry with this index.
-pub fn node_entry(n: usize) -> Listed {
+pub fn node_entry(n: usize) -> ListedNode {
     let [.., a, b, c] = (n as u32).to_be_bytes();
-    Listed {
+    ListedNode {
         host: format!("10.{a}.{b}.{c}"),
         port: 9000,
         state: State::Ready,
@@ -83,14 +83,14 @@
 }
 
 /// A node list with `count` entries.
-pub fn node_list(count: usize) -> Vec<Listed> {
+pub fn node_list(count: usize) -> Vec<ListedNode> {
     (0..count).map(node_entry).collect()
 }
 
 /// The rollout controller's state: build 1 is released and none is on trial.
-pub fn released() -> News {
+pub fn released() -> RolloutUpdate {
     let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
-    News { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }
+    RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] }
 }
 
 /// Counters of a run; CPU times in seconds, without the time of reading the clock.
@@ -163,7 +163,7 @@
     }
 
     /// Passes the first node list and the rollout controller's state to the core.
-    pub fn initialize(&mut self, nodes: &[Listed]) {
+    pub fn initialize(&mut self, nodes: &[ListedNode]) {
         self.handle(Input::NodeList(nodes));
         self.handle(Input::RolloutUpdate(&released()));
     }
--- a/crates/measure/src/scale/hollow.rs
+++ b/crates/measure/src/scale/hollow.rs
@@ -86,7 +86,7 @@
         (settle_time(marshals) + span, settle_time(marshals) + 2 * span);
     if nodes > SERVICE_NODES {
         script.change_interval = Duration::from_secs_f64(44_000.0 / nodes as f64 / LIST_CHANGES_PER_S);
-        script.accept_oversized = nodes > ivydrift_wire::list::LIST_NODES;
+        script.accept_oversized = nodes > ivydrift_wire::list::MAX_LIST_NODES;
     }
     let list = ivydrift_wire::list::write(&script.nodes).len();
     let starts: Vec<Duration> =
--- a/crates/measure/src/scale/hollow/marshal.rs
+++ b/crates/measure/src/scale/hollow/marshal.rs
@@ -247,7 +247,7 @@
             LocalEvent::NewsAnswered(answered_at) => {
                 let bytes = controller::write(&script.news(answered_at));
                 let from = Instant::now();
-                let news = controller::read_news(&bytes);
+                let news = controller::parse_update(&bytes);
                 let read_took = from.elapsed();
                 let Ok(news) = news else { return };
                 let took = self.handle_input(now, Input::RolloutUpdate(&news), script, effects);
@@ -303,7 +303,7 @@
         let took = match self.next_vote.take() {
             Some(next) => {
                 let stage = Some(answer.stage);
-                let news = controller::News { index: 0, stage, sums: vec![], disputed: vec![] };
+                let news = controller::RolloutUpdate { index: 0, stage, sums: vec![], disputed: vec![] };
                 self.send_vote(now, next, effects);
                 self.handle_input(now, Input::RolloutUpdate(&news), script, effects)
             }
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use ivydrift_terms::Config;
-use ivydrift_wire::controller::{ControllerCounts, News, RolloutState, Stage, Vote};
+use ivydrift_wire::controller::{ControllerCounts, RolloutState, RolloutUpdate, Stage, Vote};
 use ivydrift_wire::http::HeadWriter;
-use ivydrift_wire::list::{self, Listed, State};
+use ivydrift_wire::list::{self, ListedNode, State};
 
 use crate::scale::core_harness::{method_name, node_entry, ZERO_MS};
 use crate::scale::{Error, ZONES};
@@ -25,7 +25,7 @@
 pub struct Script {
     pub marshals: usize,
     /// The node list at the start.
-    pub nodes: Vec<Listed>,
+    pub nodes: Vec<ListedNode>,
     /// RPCs per second of one marshal, and their start.
     pub rate: f64,
     pub rpcs_start: Duration,
@@ -149,7 +149,7 @@
     }
 
     /// The node list at this time.
-    pub fn list(&self, at: Duration) -> Vec<Listed> {
+    pub fn list(&self, at: Duration) -> Vec<ListedNode> {
         let (mut nodes, turns, count) =
             (self.nodes.clone(), self.changes_so_far(at), self.nodes.len().max(1));
         let since = |change: u64| {
@@ -200,7 +200,7 @@
     }
 
     /// The rollout controller's state at this time.
-    pub fn news(&self, at: Duration) -> News {
+    pub fn news(&self, at: Duration) -> RolloutUpdate {
         let builds = if at >= self.trial_start { 2 } else { 1 };
         let sums = |build: u32| {
             (0..METHODS).map(move |m| ControllerCounts {
@@ -213,13 +213,13 @@
             })
         };
         let sums = (1..=builds).flat_map(sums).collect();
-        News { index: self.news_index(at), stage: Some(self.stage(at)), sums, disputed: vec![] }
+        RolloutUpdate { index: self.news_index(at), stage: Some(self.stage(at)), sums, disputed: vec![] }
     }
 }
 
 /// The head of a request as the shell writes it; `body` is the length of its body.
-pub fn request_head(verb: &str, path: &str, number: usize, body: usize) -> Vec<u8> {
-    HeadWriter::request(verb, path)
+pub fn request_head(http_method: &str, path: &str, number: usize, body: usize) -> Vec<u8> {
+    HeadWriter::request(http_method, path)
         .field("host", "127.0.0.1:30001")
         .field("user-agent", format!("ivydrift/{} marshal-{number}", env!("CARGO_PKG_VERSION")))
         .field("content-length", body.to_string())
@@ -229,7 +229,7 @@
 
 /// A request to the node list.
 pub fn list_request(number: usize, index: u64) -> Vec<u8> {
-    request_head("GET", &list::path("shop", index, LIST_POLL_TIMEOUT.as_secs()), number, 0)
+    request_head("GET", &list::query_target("shop", index, LIST_POLL_TIMEOUT.as_secs()), number, 0)
 }
 
 /// A request to the rollout controller.
@@ -247,7 +247,7 @@
 /// A complete answer of the node list or rollout controller.
 pub fn http_response(index: u64, body: &[u8]) -> Vec<u8> {
     let head = HeadWriter::response(200)
-        .field(list::INDEX, index.to_string())
+        .field(list::INDEX_FIELD, index.to_string())
         .field("content-length", body.len().to_string())
         .finish();
     [&head[..], body].concat()
--- a/crates/measure/src/scale/nodes.rs
+++ b/crates/measure/src/scale/nodes.rs
@@ -38,7 +38,7 @@
 
 /// Applies one node list update, the restart of one node. Returns the CPU time in seconds and the number of
 /// commands.
-pub fn apply_update(harness: &mut CoreHarness, listed: &mut [list::Listed], at: usize) -> (f64, usize) {
+pub fn apply_update(harness: &mut CoreHarness, listed: &mut [list::ListedNode], at: usize) -> (f64, usize) {
     harness.now += Duration::from_millis(100);
     let index = at * 7 % listed.len();
     listed[index].started_ms = listed[index].started_ms.map(|ms| ms + 1000);
--- a/crates/measure/src/scale/real/environment.rs
+++ b/crates/measure/src/scale/real/environment.rs
@@ -116,7 +116,7 @@
 
     fn respond(&self, target: &str, body: &[u8]) -> (usize, Vec<u8>) {
         if target.starts_with("/v1/votes") {
-            let _vote = controller::read::<controller::Vote>(body);
+            let _vote = controller::parse::<controller::Vote>(body);
             let answer = VoteAnswer { counted: Counted::Counts, stage: self.script.stage(self.now()) };
             return (2, http_response(0, &controller::write(&answer)));
         }
@@ -175,7 +175,7 @@
 /// Reads an answer; true if its status is 200.
 fn read_ok_response(socket: &mut Socket, buf: &mut Vec<u8>) -> bool {
     let (deadline, mut chunk) = (Instant::now() + Duration::from_secs(4), [0; 4096]);
-    let read = message::response(buf, 1 << 16, |buf| {
+    let read = message::read_response(buf, 1 << 16, |buf| {
         let n = socket.read(&mut chunk, Some(deadline))?;
         buf.extend_from_slice(&chunk[..n]);
         Ok(n > 0)
@@ -189,7 +189,7 @@
 ) -> Option<(ivydrift_wire::http::Request, Vec<u8>, usize)> {
     let (mut chunk, before) = ([0; 4096], buf.len());
     let mut received = 0;
-    let (request, body) = message::request(buf, 1 << 16, |buf| {
+    let (request, body) = message::read_request(buf, 1 << 16, |buf| {
         let n = socket.read(&mut chunk, None)?;
         received += n;
         buf.extend_from_slice(&chunk[..n]);
--- a/crates/measure/src/scale/tree/simulation.rs
+++ b/crates/measure/src/scale/tree/simulation.rs
@@ -64,7 +64,7 @@
 
     fn send(&mut self, from: usize, to: usize, word: Word) {
         let (sent, current_second) = (&mut self.sent[from], self.now.as_secs());
-        sent.bytes += HEADER_BYTES + peer::pack(&word).len() as u64;
+        sent.bytes += HEADER_BYTES + peer::serialize(&word).len() as u64;
         if let Word::Piece { .. } = word {
             sent.pieces += 1;
             sent.current_second = if sent.current_second.0 == current_second {
--- a/crates/measure/src/subjects.rs
+++ b/crates/measure/src/subjects.rs
@@ -58,9 +58,9 @@
             else {
                 return;
             };
-            let mut bytes = HeadWriter::request(&request.verb, &request.target)
+            let mut bytes = HeadWriter::request(&request.http_method, &request.target)
                 .field("host", "node")
-                .pass(&request.fields, &["host"])
+                .copy_end_to_end(&request.fields, &["host"])
                 .field("content-length", body.len().to_string())
                 .finish();
             bytes.extend_from_slice(&body);
@@ -70,7 +70,7 @@
             }
             let mut answer = Vec::new();
             let (head, end) = loop {
-                match http::response(&answer, false) {
+                match http::parse_response(&answer, false) {
                     Ok(Some((head, used))) => {
                         let Framing::Length(length) = head.framing else { return };
                         if answer.len() >= used + length as usize {
@@ -87,7 +87,7 @@
             };
             pools.lock().unwrap()[index].push(node);
             let mut out = HeadWriter::response(head.status)
-                .pass(&head.fields, &[])
+                .copy_end_to_end(&head.fields, &[])
                 .field("content-length", (answer.len() - end).to_string())
                 .finish();
             out.extend_from_slice(&answer[end..]);
--- a/crates/platform/src/members.rs
+++ b/crates/platform/src/members.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ivydrift_wire::list::{Listed, State};
+use ivydrift_wire::list::{ListedNode, State};
 use serde::Deserialize;
 
 /// Largest accepted list, in bytes.
@@ -46,7 +46,7 @@
 pub struct Catalog {
     /// None until the first snapshot. A snapshot may have revision 0.
     revision: Option<u64>,
-    members: BTreeMap<String, Listed>,
+    members: BTreeMap<String, ListedNode>,
 }
 
 impl Catalog {
@@ -66,7 +66,7 @@
     }
 
     /// All members, ordered by id.
-    pub fn nodes(&self) -> Vec<Listed> {
+    pub fn nodes(&self) -> Vec<ListedNode> {
         self.members.values().cloned().collect()
     }
 
@@ -111,7 +111,7 @@
                     member.id, member.host_port
                 ));
             };
-            let listed = Listed {
+            let listed = ListedNode {
                 host: address.ip().to_string(),
                 port: address.port(),
                 state: if member.phase == "active" { State::Ready } else { State::Draining },
--- a/crates/platform/src/rpc.rs
+++ b/crates/platform/src/rpc.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ivydrift_wire::http::{Fields, Framing, HeadWriter, Refusal, Request, Response};
+use ivydrift_wire::http::{Fields, Framing, HeadWriter, ParseError, Request, Response};
 use ivydrift_wire::orca::Metrics;
 
 use crate::start::MAX_BODY_BYTES;
@@ -50,7 +50,7 @@
 
 /// Whether the request is a readiness check.
 pub fn is_readiness_check(request: &Request) -> bool {
-    request.verb == "GET" && request.target == HEALTH
+    request.http_method == "GET" && request.target == HEALTH
 }
 
 /// Validates an RPC's request head. `safe` says whether its method may run more than once; none for an unknown method.
@@ -58,10 +58,10 @@
 /// # Errors
 /// Returns the HTTP status and reason for a head that does not follow the platform's protocol. Such a request must not
 /// be forwarded to a node.
-pub fn validate_request<'a>(request: &'a Request, safe: Option<bool>) -> Result<RpcHead<'a>, Refusal> {
-    let refuse = |status, why| Err(Refusal { status, why });
+pub fn validate_request<'a>(request: &'a Request, safe: Option<bool>) -> Result<RpcHead<'a>, ParseError> {
+    let refuse = |status, why| Err(ParseError { status, reason: why });
     let single_value = |name| {
-        let mut values = request.fields.all(name);
+        let mut values = request.fields.values(name);
         values.next().filter(|_| values.next().is_none()).and_then(|v| std::str::from_utf8(v).ok())
     };
     let valid_id =
@@ -77,8 +77,8 @@
     };
     match safe {
         None => return refuse(404, "no such class: the first part of the path names it"),
-        Some(true) if request.verb != "GET" => return refuse(405, "this class uses GET"),
-        Some(false) if request.verb != "POST" => return refuse(405, "this class uses POST"),
+        Some(true) if request.http_method != "GET" => return refuse(405, "this class uses GET"),
+        Some(false) if request.http_method != "POST" => return refuse(405, "this class uses POST"),
         Some(true) if request.framing != Framing::Length(0) => return refuse(400, "a GET has no body here"),
         Some(_) => {}
     }
@@ -144,7 +144,7 @@
     use ivydrift_wire::http;
 
     fn request(text: &str) -> Request {
-        http::request(text.as_bytes()).unwrap().unwrap().0
+        http::parse_request(text.as_bytes()).unwrap().unwrap().0
     }
 
     fn status(text: &str, safe: Option<bool>) -> u16 {
@@ -186,8 +186,10 @@
     #[test]
     fn not_processed_counts_only_with_503_and_504() {
         let interpreted = |text: &str| {
-            let head =
-                http::response(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").as_bytes(), false);
+            let head = http::parse_response(
+                format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").as_bytes(),
+                false,
+            );
             let (status, never_ran, load) = interpret_response(&head.unwrap().unwrap().0);
             (status, never_ran, load.in_flight)
         };
--- a/crates/standin/src/environment.rs
+++ b/crates/standin/src/environment.rs
@@ -7,8 +7,10 @@
 
 use ivydrift_audit::trace::{self, Kind as Answer, Line, Seen, State, Turn};
 use ivydrift_policy::port::{MethodConfig, Repeat};
-use ivydrift_wire::controller::{Counted, Disputed, News, RolloutState, Stage, Vote, VoteAnswer};
-use ivydrift_wire::list::{self, Listed};
+use ivydrift_wire::controller::{
+    Counted, DisputeReport, RolloutState, RolloutUpdate, Stage, Vote, VoteAnswer,
+};
+use ivydrift_wire::list::{self, ListedNode};
 use ivydrift_wire::orca::Metrics;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -108,13 +110,13 @@
     /// Nodes wanted for the present rollout stage.
     wanted_nodes: usize,
     /// Versions of the node list with time and index, oldest first.
-    list_versions: VecDeque<(Duration, u64, Vec<Listed>)>,
+    list_versions: VecDeque<(Duration, u64, Vec<ListedNode>)>,
     /// By marshal: the node states it was told.
     told_nodes: HashMap<usize, BTreeMap<u32, State>>,
     /// By marshal: the rollout state it was told.
     told_rollouts: HashMap<usize, (u32, u32, RolloutState, f64)>,
     /// Wrong answers that clients will report: when, and to which marshal.
-    disputes: Vec<(Duration, usize, Disputed)>,
+    disputes: Vec<(Duration, usize, DisputeReport)>,
     pick_stats: PickStats,
     /// Indexes of the faults that have begun.
     faults_begun: BTreeSet<usize>,
@@ -439,7 +441,7 @@
     fn publish_list(&mut self) {
         let (zones, machines, zero) = (&self.day.zones, &self.day.fleet.machines, self.unix_zero_ms);
         let listed = |n: &Node| {
-            Some(Listed {
+            Some(ListedNode {
                 host: "127.0.0.1".to_owned(),
                 port: n.port?,
                 state: if n.lifecycle == Lifecycle::Running {
@@ -455,7 +457,8 @@
                 started_ms: n.started_at.map(|since| zero + since.as_millis() as u64),
             })
         };
-        let nodes: Vec<Listed> = self.nodes.iter().filter(|n| n.is_serving()).filter_map(listed).collect();
+        let nodes: Vec<ListedNode> =
+            self.nodes.iter().filter(|n| n.is_serving()).filter_map(listed).collect();
         let index = self.list_versions.back().map_or(0, |l| l.1) + 1;
         self.list_versions.push_back((self.now, index, nodes));
         while self.list_versions.len() > 256 {
@@ -481,7 +484,7 @@
     /// so answer in any case.
     pub fn list(
         &mut self, now: Duration, marshal: usize, index: u64, wait_over: bool,
-    ) -> Option<(u64, Vec<Listed>)> {
+    ) -> Option<(u64, Vec<ListedNode>)> {
         self.advance_to(now);
         let lag = self.day.list_lag + self.report_delay();
         let (_, list_index, nodes) =
@@ -525,12 +528,13 @@
     /// [`Environment::list`].
     pub fn rollout_news(
         &mut self, now: Duration, marshal: usize, index: u64, wait_over: bool,
-    ) -> Option<News> {
+    ) -> Option<RolloutUpdate> {
         self.advance_to(now);
         let (version, standing) =
             self.controller.delayed_state(self.now, self.day.controller_lag + self.report_delay());
-        let due = |d: &(Duration, usize, Disputed)| d.1 == marshal && d.0 <= self.now;
-        let disputed: Vec<Disputed> = self.disputes.iter().filter(|d| due(d)).map(|d| d.2.clone()).collect();
+        let due = |d: &(Duration, usize, DisputeReport)| d.1 == marshal && d.0 <= self.now;
+        let disputed: Vec<DisputeReport> =
+            self.disputes.iter().filter(|d| due(d)).map(|d| d.2.clone()).collect();
         let names: Vec<&str> = self.day.methods.iter().map(|m| &*m.0).collect();
         let late = self.day.sampling.report_delay + self.report_delay();
         let sums = self.pick_stats.take_due(self.now, marshal, late, &names);
@@ -540,7 +544,7 @@
         let now = self.now;
         self.disputes.retain(|d| !(d.1 == marshal && d.0 <= now));
         let stage = Some(self.stage_for(marshal, &standing));
-        Some(News { index: version, stage, sums, disputed })
+        Some(RolloutUpdate { index: version, stage, sums, disputed })
     }
 
     /// Handles a vote. `None`: the controller does not answer, but the vote may have been counted.
@@ -704,7 +708,7 @@
         if wrong && !failed && self.rng.random_bool(self.day.release.flag_share.clamp(0.0, 1.0)) {
             let at = done + Duration::from_secs_f64(self.rng.random_range(0.7..3.0));
             let age_ms = (at - now).as_millis() as u64;
-            let disputed = Disputed { node: format!("127.0.0.1:{port}"), method: name, age_ms };
+            let disputed = DisputeReport { node: format!("127.0.0.1:{port}"), method: name, age_ms };
             self.disputes.push((at, rpc.marshal, disputed));
         }
         let status = if failed { 500 } else { 200 };
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -8,8 +8,8 @@
 use ivydrift_audit::trace::{Kind as Answer, Line};
 use ivydrift_audit::{Auditor, Report};
 use ivydrift_marshal::{Ballot, Call, Command as MarshalCommand, Core, Counts, Id, Input, Observation};
-use ivydrift_wire::controller::{News, Vote};
-use ivydrift_wire::list::Listed;
+use ivydrift_wire::controller::{RolloutUpdate, Vote};
+use ivydrift_wire::list::ListedNode;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -47,9 +47,9 @@
     Rpc(Attempt),
     PickEnded { id: Id, pick: usize, observation: Observation },
     ClientLeft(Id),
-    List(Vec<Listed>),
+    List(Vec<ListedNode>),
     ListLost,
-    News(News),
+    News(RolloutUpdate),
     Voted(Ballot),
     Peer(Vec<u8>),
     Tick,
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Header field with the index of a list.
-pub const INDEX: &str = "x-consul-index";
+pub const INDEX_FIELD: &str = "x-consul-index";
 /// Largest accepted list, in bytes.
-pub const LIST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 /// Largest accepted list, in nodes.
-pub const LIST_NODES: usize = 20_000;
+pub const MAX_LIST_NODES: usize = 20_000;
 
 /// Whether a listed node may get new RPCs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// One entry of the node list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedNode {
     pub host: String,
     pub port: u16,
     pub state: State,
@@ -59,7 +59,7 @@
 }
 
 /// Returns the request target of a query for a service's list.
-pub fn path(service: &str, index: u64, wait_s: u64) -> String {
+pub fn query_target(service: &str, index: u64, wait_s: u64) -> String {
     format!("/v1/health/service/{service}?index={index}&wait={wait_s}s")
 }
 
@@ -70,8 +70,8 @@
 }
 
 /// Serializes a list.
-pub fn write(nodes: &[Listed]) -> Vec<u8> {
-    let entry = |record: &Listed| {
+pub fn write(nodes: &[ListedNode]) -> Vec<u8> {
+    let entry = |record: &ListedNode| {
         let mut meta = std::collections::BTreeMap::from([
             ("build".to_owned(), record.build.to_string()),
             ("zone".to_owned(), record.zone.clone()),
@@ -94,14 +94,14 @@
 ///
 /// # Errors
 /// Returns a sentence on what is malformed; the list must then be ignored as a whole.
-pub fn read(bytes: &[u8]) -> Result<Vec<Listed>, String> {
-    if bytes.len() > LIST_BYTES {
-        return Err(format!("the node list has {} bytes, the limit is {LIST_BYTES}", bytes.len()));
+pub fn read(bytes: &[u8]) -> Result<Vec<ListedNode>, String> {
+    if bytes.len() > MAX_LIST_BYTES {
+        return Err(format!("the node list has {} bytes, the limit is {MAX_LIST_BYTES}", bytes.len()));
     }
     let entries: Vec<Entry> =
         serde_json::from_slice(bytes).map_err(|e| format!("malformed node list: {e}"))?;
-    if entries.len() > LIST_NODES {
-        return Err(format!("the node list has {} nodes, the limit is {LIST_NODES}", entries.len()));
+    if entries.len() > MAX_LIST_NODES {
+        return Err(format!("the node list has {} nodes, the limit is {MAX_LIST_NODES}", entries.len()));
     }
     let mut listed = Vec::with_capacity(entries.len());
     for entry in entries {
@@ -119,7 +119,7 @@
         };
         let build = meta_number("build")?.ok_or_else(|| format!("node {address}: Meta.build is missing"))?;
         let draining = has_check("draining") || has_check("maintenance");
-        listed.push(Listed {
+        listed.push(ListedNode {
             host: service.address.clone(),
             port: service.port,
             state: if draining { State::Draining } else { State::Ready },
@@ -140,7 +140,7 @@
 
     #[test]
     fn a_written_list_reads_back_and_malformed_entries_are_named() {
-        let node = Listed {
+        let node = ListedNode {
             host: "127.0.0.1".into(),
             port: 9000,
             state: State::Draining,
--- a/crates/wire/src/orca.rs
+++ b/crates/wire/src/orca.rs
@@ -2,7 +2,7 @@
 //! Aggregation (ORCA): `TEXT name=value, ...` or `JSON {...}`.
 
 /// Name of the response field.
-pub const FIELD: &str = "endpoint-load-metrics";
+pub const LOAD_FIELD: &str = "endpoint-load-metrics";
 
 /// Load figures reported by a node; absent and malformed ones are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
