--- a/crates/edge/src/clients/caller.rs
+++ b/crates/edge/src/clients/caller.rs
@@ -95,7 +95,7 @@
                         _ => return self.stop(ReadError::Closed),
                     }
                 }
-                Err(refusal) => return self.stop(ReadError::Refused(refusal)),
+                Err(error) => return self.stop(ReadError::Refused(error)),
             }
         };
         self.remaining.waited += began.elapsed();
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -99,12 +99,12 @@
             let (request, first_byte_at) = match self.read_head() {
                 Ok(read) => read,
                 Err(ReadError::Closed) => return false,
-                Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
+                Err(ReadError::Refused(error)) => return self.refuse(error),
             };
             let (body, decoder) = match self.read_body_prefix(&request, first_byte_at) {
                 Ok(body) => body,
                 Err(ReadError::Closed) => return false,
-                Err(ReadError::Refused(refusal)) => return self.refuse(refusal),
+                Err(ReadError::Refused(error)) => return self.refuse(error),
             };
             if !self.client.complete_message() {
                 return false;
@@ -131,7 +131,7 @@
                     Ok((time_left, claim)) => {
                         (time_left.map(|time_left| time_left.saturating_sub(first_byte_at.elapsed())), claim)
                     }
-                    Err(refusal) => return self.refuse(refusal),
+                    Err(error) => return self.refuse(error),
                 };
             let deadline = first_byte_at + self.edge.limits().message_timeout;
             let remaining = RemainingBody {
@@ -147,7 +147,7 @@
             match served {
                 Served::KeepAlive if keep => {}
                 Served::KeepAlive | Served::Close => return true,
-                Served::Refuse(refusal) => return self.refuse(refusal),
+                Served::Refuse(error) => return self.refuse(error),
             }
         }
     }
@@ -194,7 +194,7 @@
                     return Ok((request, first_byte_at.unwrap_or_else(Instant::now)));
                 }
                 Ok(None) => {}
-                Err(refusal) => return Err(ReadError::Refused(refusal)),
+                Err(error) => return Err(ReadError::Refused(error)),
             }
             match self.read_more(deadline) {
                 Ok(true) => {}
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Reads the body up to the buffered length. The walk continues with whatever is left of it.
+    /// Reads the body up to the buffered length. The decoder continues with whatever is left of it.
     fn read_body_prefix(
         &mut self, request: &Request, first_byte_at: Instant,
     ) -> Result<(Vec<u8>, BodyDecoder), ReadError> {
@@ -242,19 +242,19 @@
                     Err(ErrorKind::TimedOut) => return Err(ReadError::Refused(TOO_SLOW)),
                     _ => return Err(ReadError::Closed),
                 },
-                Err(refusal) => return Err(ReadError::Refused(refusal)),
+                Err(error) => return Err(ReadError::Refused(error)),
             }
         }
     }
 
     /// Rejects a message and closes the connection, because the message boundary cannot be trusted.
-    fn refuse(&self, refusal: ParseError) -> bool {
-        let head = HeadWriter::response(refusal.status)
+    fn refuse(&self, error: ParseError) -> bool {
+        let head = HeadWriter::response(error.status)
             .field("content-type", "text/plain")
-            .field("content-length", (refusal.reason.len() + 1).to_string())
+            .field("content-length", (error.reason.len() + 1).to_string())
             .field("connection", "close")
             .finish();
-        let bytes = [&head[..], refusal.reason.as_bytes(), b"\n"].concat();
+        let bytes = [&head[..], error.reason.as_bytes(), b"\n"].concat();
         self.socket.write(&bytes, Instant::now() + WRITE_TIMEOUT).is_ok()
     }
 }
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -151,7 +151,7 @@
         });
         commands.into_iter().chain(unread_commands).for_each(|command| edge.discard_command(&command));
         match remaining.failure {
-            Some(ReadError::Refused(refusal)) => Served::Refuse(refusal),
+            Some(ReadError::Refused(error)) => Served::Refuse(error),
             None if delivered
                 && keep_open
                 && remaining.decoder.is_complete()
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -103,9 +103,9 @@
                 let line = connection.next(Instant::now() + RECONNECT_AFTER)?;
                 failures = 0;
                 let passed_on = edge.if_addresses_unchanged(address_generation, || {
-                    news_from_line(platform, line)
-                        .iter()
-                        .for_each(|news| drop(edge.dispatch(Input::RolloutUpdate(news), 0)));
+                    news_from_line(platform, line).iter().for_each(|rollout_update| {
+                        drop(edge.dispatch(Input::RolloutUpdate(rollout_update), 0))
+                    });
                 });
                 if passed_on.is_none() {
                     return Ok(());
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -51,8 +51,8 @@
     let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(platform.catalog)))?;
     // Data known from before is passed on first, since everything received later is newer.
     if let Some(stage) = platform.rollout_stage {
-        let news = RolloutUpdate { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
-        edge.dispatch(Input::RolloutUpdate(&news), 0);
+        let rollout_update = RolloutUpdate { index: 0, stage: Some(stage), sums: vec![], disputed: vec![] };
+        edge.dispatch(Input::RolloutUpdate(&rollout_update), 0);
     }
     if !known_nodes.is_empty() {
         edge.dispatch(Input::CachedNodeList(&known_nodes), 0);
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -114,17 +114,17 @@
             let parsed =
                 answer.map_err(|e| e.to_string()).and_then(|reply| controller::parse_update(&reply.body));
             let passed_on = edge.if_addresses_unchanged(address_generation, || {
-                parsed
-                    .iter()
-                    .for_each(|news| drop(edge.dispatch_for(held.service_id, Input::RolloutUpdate(news), 0)));
+                parsed.iter().for_each(|rollout_update| {
+                    drop(edge.dispatch_for(held.service_id, Input::RolloutUpdate(rollout_update), 0))
+                });
             });
             if passed_on.is_none() || held.is_dropped() {
                 return; // The controller is watched at its new address, or the service is no longer held.
             }
             match parsed {
-                Ok(news) => {
+                Ok(rollout_update) => {
                     failures = 0;
-                    index = if news.index < index { 0 } else { news.index };
+                    index = if rollout_update.index < index { 0 } else { rollout_update.index };
                 }
                 Err(why) => {
                     let wait = backoff(Duration::from_millis(200), failures);
@@ -183,13 +183,13 @@
             // The core waits for the answer to a later vote, but what this answer says about the build is
             // still valid.
             if let Ballot::Answered(answer) = ballot {
-                let news = controller::RolloutUpdate {
+                let rollout_update = controller::RolloutUpdate {
                     index: 0,
                     stage: Some(answer.stage),
                     sums: vec![],
                     disputed: vec![],
                 };
-                edge.dispatch_for(held.service_id, Input::RolloutUpdate(&news), 0);
+                edge.dispatch_for(held.service_id, Input::RolloutUpdate(&rollout_update), 0);
             }
             vote = later;
         }
--- a/crates/marshal/examples/node_list.rs
+++ b/crates/marshal/examples/node_list.rs
@@ -38,8 +38,9 @@
             let mut now = Duration::from_secs(86_400);
             let stage =
                 Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
-            let news = RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
-            core.handle(now, Input::RolloutUpdate(&news));
+            let rollout_update =
+                RolloutUpdate { index: 1, stage: Some(stage), sums: vec![], disputed: vec![] };
+            core.handle(now, Input::RolloutUpdate(&rollout_update));
             let mut listed: Vec<ListedNode> = (0..count).map(node).collect();
             let timer_start = Instant::now();
             core.handle(now, Input::NodeList(&listed));
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -110,7 +110,7 @@
                         Output::Command { instance, command } if instance > 0 => {
                             self.apply(instance, vec![command])
                         }
-                        Output::HoldService { instance, .. } => self.news(instance),
+                        Output::HoldService { instance, .. } => self.rollout_update(instance),
                         _ => {}
                     }
                 }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn news(&mut self, instance: u64) {
+    fn rollout_update(&mut self, instance: u64) {
         let stage = Stage { build: 1, stage: 2, course: RolloutState::Released, cap: 1.0, age_ms: 90_000 };
         self.feed(
             instance,
@@ -189,7 +189,7 @@
     if matches!(run.variant, Variant::Cores(_)) {
         (1..=count as u64).for_each(|instance| {
             run.feed(instance, Input::Tick);
-            run.news(instance);
+            run.rollout_update(instance);
         });
     }
     let report = |run: &mut Run, what: &str, seconds: f64| {
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -206,9 +206,9 @@
             }
             Input::NodeListLost => events.push(Event::Nodes { update: ListUpdate::Failed, nodes: vec![] }),
             Input::Discovery(sign) => events.push(Event::Discovery(sign)),
-            Input::RolloutUpdate(news) => {
-                self.apply_rollout_update(now, news, events);
-                if news.stage.is_some() {
+            Input::RolloutUpdate(rollout_update) => {
+                self.apply_rollout_update(now, rollout_update, events);
+                if rollout_update.stage.is_some() {
                     self.controller_heard = true;
                     events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                 }
--- a/crates/marshal/src/rollout.rs
+++ b/crates/marshal/src/rollout.rs
@@ -55,19 +55,19 @@
 
 impl Core {
     pub(crate) fn apply_rollout_update(
-        &mut self, now: Duration, news: &controller::RolloutUpdate, events: &mut Vec<Event>,
+        &mut self, now: Duration, rollout_update: &controller::RolloutUpdate, events: &mut Vec<Event>,
     ) {
-        let current = news.stage.map(|stage| self.rollout_status.update(now, &stage));
+        let current = rollout_update.stage.map(|stage| self.rollout_status.update(now, &stage));
         events.extend(current.map(|(stage, age)| stage_event(&stage, age, VoteReply::Unsolicited)));
         let methods = &self.config.methods;
-        for sums in &news.sums {
+        for sums in &rollout_update.sums {
             let Some(method) = methods.find(&sums.method) else { continue };
             let mean = Duration::try_from_secs_f64(sums.mean_ms / 1000.0).unwrap_or_default();
             let age = Duration::from_millis(sums.age_ms);
             let (build, picks, failed) = (sums.build, sums.picks, sums.failed.min(sums.picks));
             events.push(Event::ControllerCounts { build, method, picks, failed, mean, age });
         }
-        for disputed in &news.disputed {
+        for disputed in &rollout_update.disputed {
             let method = methods.find(&disputed.method);
             let node = disputed.node.parse().ok().and_then(|addr| self.directory.index_of(addr));
             if let (Some(method), Some(node)) = (method, node) {
--- a/crates/marshal/src/services/instance.rs
+++ b/crates/marshal/src/services/instance.rs
@@ -128,16 +128,16 @@
                 self.keep_awake(now, AWAKE_AFTER_LIST);
             }
             Input::NodeListLost => self.subscribed = false,
-            Input::RolloutUpdate(news) => {
+            Input::RolloutUpdate(rollout_update) => {
                 let same = |a: &Stage, b: &Stage| Stage { age_ms: b.age_ms, ..*a } == *b;
-                let stage_changed = match (&news.stage, &self.stage) {
+                let stage_changed = match (&rollout_update.stage, &self.stage) {
                     (Some(new), Some(old)) => !same(new, old),
                     (new, _) => new.is_some(),
                 };
-                if stage_changed || !news.sums.is_empty() || !news.disputed.is_empty() {
+                if stage_changed || !rollout_update.sums.is_empty() || !rollout_update.disputed.is_empty() {
                     self.keep_awake(now, SLEEP_AFTER);
                 }
-                self.set_stage(news.stage);
+                self.set_stage(rollout_update.stage);
             }
             Input::VoteAnswered(ballot) => {
                 self.keep_awake(now, SLEEP_AFTER);
--- a/crates/measure/src/scale/hollow/script.rs
+++ b/crates/measure/src/scale/hollow/script.rs
@@ -200,7 +200,7 @@
     }
 
     /// The rollout controller's state at this time.
-    pub fn news(&self, at: Duration) -> RolloutUpdate {
+    pub fn rollout_update(&self, at: Duration) -> RolloutUpdate {
         let builds = if at >= self.trial_start { 2 } else { 1 };
         let sums = |build: u32| {
             (0..METHODS).map(move |m| ControllerCounts {
--- a/crates/measure/src/scale/real/environment.rs
+++ b/crates/measure/src/scale/real/environment.rs
@@ -129,7 +129,7 @@
             if index == 0 || index != at || now >= deadline || self.stopped.load(Ordering::Acquire) {
                 let body = match is_node_list {
                     true => list::write(&self.script.list(now)),
-                    false => controller::write(&self.script.news(now)),
+                    false => controller::write(&self.script.rollout_update(now)),
                 };
                 return (usize::from(!is_node_list), http_response(at, &body));
             }
--- a/crates/platform/src/rpc.rs
+++ b/crates/platform/src/rpc.rs
@@ -148,7 +148,7 @@
     }
 
     fn status(text: &str, safe: Option<bool>) -> u16 {
-        validate_request(&request(text), safe).map_or_else(|refusal| refusal.status, |_| 200)
+        validate_request(&request(text), safe).map_or_else(|error| error.status, |_| 200)
     }
 
     #[test]
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -49,7 +49,7 @@
     ClientLeft(Id),
     List(Vec<ListedNode>),
     ListLost,
-    News(RolloutUpdate),
+    RolloutUpdate(RolloutUpdate),
     Voted(Ballot),
     Peer(Vec<u8>),
     Tick,
@@ -497,7 +497,7 @@
         } else {
             self.env
                 .rollout_news(self.now, marshal, index, wait_over)
-                .map(|news| (news.index, Message::News(news)))
+                .map(|rollout_update| (rollout_update.index, Message::RolloutUpdate(rollout_update)))
         };
         match message {
             Some((at, message)) => {
@@ -545,7 +545,7 @@
             }
             Message::List(nodes) => core.handle(now, Input::NodeList(nodes)),
             Message::ListLost => core.handle(now, Input::NodeListLost),
-            Message::News(news) => core.handle(now, Input::RolloutUpdate(news)),
+            Message::RolloutUpdate(rollout_update) => core.handle(now, Input::RolloutUpdate(rollout_update)),
             Message::Voted(ballot) => core.handle(now, Input::VoteAnswered(*ballot)),
             Message::Peer(datagram) => core.handle(now, Input::PeerDatagram(datagram)),
             Message::Tick => core.handle(now, Input::Tick),
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -369,7 +369,7 @@
         long_poll(run, socket, &message, Environment::controller_down, |env, now, index, wait_over| {
             env.rollout_news(now, marshal, index, wait_over)
         });
-    update.is_some_and(|news| send(socket, 200, &[], &controller::write(&news)))
+    update.is_some_and(|rollout_update| send(socket, 200, &[], &controller::write(&rollout_update)))
 }
 
 /// Reads `id.call.key` of an attempt from the trace header that the client set.
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -46,7 +46,7 @@
     parse: impl Fn(&[u8]) -> Parsed<T>,
 ) -> io::Result<T> {
     loop {
-        match parse(buf).map_err(|refusal| invalid_data(refusal.reason))? {
+        match parse(buf).map_err(|error| invalid_data(error.reason))? {
             Some((head, used)) => {
                 buf.drain(..used);
                 return Ok(head);
@@ -63,7 +63,7 @@
 ) -> io::Result<Vec<u8>> {
     let (mut decoder, mut body, mut at) = (BodyDecoder::new(framing), Vec::new(), 0);
     loop {
-        match decoder.step(&buf[at..]).map_err(|refusal| invalid_data(refusal.reason))? {
+        match decoder.step(&buf[at..]).map_err(|error| invalid_data(error.reason))? {
             Part::Data(n) => {
                 body.extend_from_slice(&buf[at..at + n]);
                 at += n;
