--- a/crates/client/src/coroutine.rs
+++ b/crates/client/src/coroutine.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ivydrift_sockets::coroutine::{go, pause, wait};
-use ivydrift_sockets::{Look, Socket};
+use ivydrift_sockets::coroutine::{sleep, spawn, wait_timeout};
+use ivydrift_sockets::{Socket, SocketHandle};
 use may::sync::Semphore;
 
 use crate::call::Error;
@@ -55,23 +55,23 @@
 
 impl Runtime for Coroutines {
     type Connection = Socket;
-    type Handle = Look;
+    type Handle = SocketHandle;
     type Waker = Waker;
 
     fn connect(addr: SocketAddr, timeout: Duration) -> io::Result<Socket> {
         Socket::connect(addr, timeout)
     }
 
-    fn handle(connection: &Socket) -> Look {
-        connection.look()
+    fn handle(connection: &Socket) -> SocketHandle {
+        connection.handle()
     }
 
-    fn is_idle(handle: &Look) -> bool {
-        handle.quiet()
+    fn is_idle(handle: &SocketHandle) -> bool {
+        handle.is_idle()
     }
 
-    fn shutdown(handle: &Look) {
-        handle.cut();
+    fn shutdown(handle: &SocketHandle) {
+        handle.shutdown();
     }
 
     fn write(connection: &mut Socket, bytes: &[u8], deadline: Instant) -> Result<(), (usize, io::Error)> {
@@ -87,14 +87,14 @@
     }
 
     fn wait(waker: &Waker, span: Duration) {
-        wait(&waker.0, span);
+        wait_timeout(&waker.0, span);
     }
 
     fn sleep(span: Duration) {
-        pause(span);
+        sleep(span);
     }
 
     fn spawn(work: impl FnOnce() + Send + 'static) {
-        go(work);
+        spawn(work);
     }
 }
--- a/crates/edge/src/clients/client.rs
+++ b/crates/edge/src/clients/client.rs
@@ -9,7 +9,7 @@
 use may::sync::Semphore;
 
 use crate::exchange::PickHandle;
-use ivydrift_sockets::Look;
+use ivydrift_sockets::SocketHandle;
 
 /// When connections run out, those that have sent no complete message for this long after being accepted are
 /// closed first.
@@ -22,7 +22,7 @@
 /// One client connection as other coroutines see it.
 pub struct Client {
     /// Lets other coroutines check or shut down the connection.
-    pub look: Look,
+    pub socket_handle: SocketHandle,
     /// The connection's [`ConnectionState`] as an integer.
     pub(super) state: AtomicU8,
     /// No byte of a message has arrived since the connection was accepted or last became idle.
@@ -69,7 +69,7 @@
 struct CurrentPick {
     pick: Option<PickId>,
     /// Its connection, once established.
-    look: Option<Look>,
+    socket_handle: Option<SocketHandle>,
     /// The last pick commanded to be cancelled. The command may arrive before that pick has begun.
     cancelled: Option<PickId>,
 }
@@ -90,9 +90,9 @@
 
 impl Client {
     /// A connection that was just accepted.
-    pub(crate) fn new(look: Look) -> Self {
+    pub(crate) fn new(socket_handle: SocketHandle) -> Self {
         Client {
-            look,
+            socket_handle,
             state: AtomicU8::new(ConnectionState::New as u8),
             silent: AtomicBool::new(true),
             accepted_at: Instant::now(),
@@ -155,13 +155,13 @@
     /// the socket count as an accepted message even if the reader has not run yet; only after the
     /// connection's last answer are they ignored.
     pub fn evict(&self) -> bool {
-        if !self.in_state(ConnectionState::Closing) && !self.look.quiet() {
+        if !self.in_state(ConnectionState::Closing) && !self.socket_handle.is_idle() {
             return false;
         }
         let eligible = [ConnectionState::New, ConnectionState::Idle, ConnectionState::Closing];
         let evicted = eligible.into_iter().any(|from| self.transition(from, ConnectionState::Evicted));
         if evicted {
-            self.look.cut();
+            self.socket_handle.shutdown();
         }
         evicted
     }
@@ -180,7 +180,7 @@
             let mut current = self.current.lock().unwrap();
             current.cancelled = Some((*id, *pick));
             if current.is_cancelled() {
-                current.look.iter().for_each(Look::cut);
+                current.socket_handle.iter().for_each(SocketHandle::shutdown);
             }
             return true;
         }
@@ -218,20 +218,20 @@
     /// Marks a pick as in progress.
     pub(crate) fn begin_pick(&self, id: Id, pick: usize) {
         let mut current = self.current.lock().unwrap();
-        (current.pick, current.look) = (Some((id, pick)), None);
+        (current.pick, current.socket_handle) = (Some((id, pick)), None);
     }
 
     /// Marks the pick in progress as ended.
     pub(crate) fn end_pick(&self) {
         let mut current = self.current.lock().unwrap();
-        (current.pick, current.look) = (None, None);
+        (current.pick, current.socket_handle) = (None, None);
     }
 }
 
 impl PickHandle for Client {
-    fn attach(&self, look: Look) -> bool {
+    fn attach(&self, socket_handle: SocketHandle) -> bool {
         let mut current = self.current.lock().unwrap();
-        current.look = Some(look);
+        current.socket_handle = Some(socket_handle);
         // Nothing is started for a client that has left, even if the method does not allow cancelling work
         // that already runs.
         !current.is_cancelled() && !self.disconnected.load(Ordering::Acquire)
--- a/crates/edge/src/clients/mod.rs
+++ b/crates/edge/src/clients/mod.rs
@@ -19,7 +19,7 @@
 use caller::{ReadError, RemainingBody};
 pub use client::Client;
 use client::{ConnectionState, Mail};
-use ivydrift_sockets::coroutine::{go, pause};
+use ivydrift_sockets::coroutine::{sleep, spawn};
 use ivydrift_sockets::{out_of_descriptors, Listener, Socket};
 
 /// A client that accepts no byte of its answer for this long is disconnected.
@@ -47,7 +47,7 @@
                 if e.raw_os_error().is_some_and(out_of_descriptors) {
                     edge.pool.close_expired(true);
                 }
-                pause(Duration::from_millis(20));
+                sleep(Duration::from_millis(20));
             }
         }
     }
@@ -56,10 +56,10 @@
 /// Registers an accepted connection and serves it on a coroutine of its own, or closes it if there are too
 /// many.
 fn start_serving(edge: &Arc<Edge>, socket: Socket) {
-    let client = Arc::new(Client::new(socket.look()));
+    let client = Arc::new(Client::new(socket.handle()));
     let Some(client_id) = edge.register(&client) else { return };
     let edge = edge.clone();
-    go(move || serve(&edge, client, client_id, socket));
+    spawn(move || serve(&edge, client, client_id, socket));
 }
 
 /// Serves the client registered under `client_id` until either side closes the connection.
@@ -67,9 +67,9 @@
     let mut connection = Connection { edge, client: &client, socket, buf: Vec::new() };
     if connection.run() {
         client.state.store(ConnectionState::Closing as u8, Ordering::Release);
-        connection.socket.close_gently(Duration::from_millis(500));
+        connection.socket.close_with_drain(Duration::from_millis(500));
     }
-    connection.socket.cut();
+    connection.socket.shutdown();
     edge.unregister(client_id);
 }
 
@@ -122,7 +122,7 @@
             }
             // After a stall, requests waiting in the socket may be from clients that left long ago. The id of
             // such a request is still unclaimed, so it may be sent again elsewhere.
-            if self.edge.recently_stalled() && self.socket.left() {
+            if self.edge.recently_stalled() && self.socket.peer_closed() {
                 return true;
             }
             let (time_left, claim) =
--- a/crates/edge/src/clients/serve.rs
+++ b/crates/edge/src/clients/serve.rs
@@ -140,7 +140,11 @@
         };
         edge.end_rpc(id);
         let body_failed = remaining.failure.is_some();
-        if !answered && !body_failed && !client.disconnected.load(Ordering::Acquire) && !self.socket.left() {
+        if !answered
+            && !body_failed
+            && !client.disconnected.load(Ordering::Acquire)
+            && !self.socket.peer_closed()
+        {
             edge.guard.closed_unanswered(id);
         }
         // Picks that were ordered but never begun, for example because the client left: the core counts them
--- a/crates/edge/src/clients/tests.rs
+++ b/crates/edge/src/clients/tests.rs
@@ -1,18 +1,18 @@
 use std::time::Duration;
 
 use super::client::Client;
-use ivydrift_sockets::coroutine::go;
+use ivydrift_sockets::coroutine::spawn;
 use ivydrift_sockets::Socket;
 
 #[test]
 fn an_evicted_connection_processes_no_message_and_a_busy_one_is_not_evicted() {
-    ivydrift_sockets::coroutine::prepare(2);
+    ivydrift_sockets::coroutine::configure_runtime(2);
     let (tx, rx) = std::sync::mpsc::channel();
-    go(move || {
+    spawn(move || {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let to = listener.local_addr().unwrap();
         let sockets = [0; 3].map(|_| Socket::connect(to, Duration::from_secs(1)).unwrap());
-        let [new, busy, idle] = sockets.each_ref().map(|socket| Client::new(socket.look()));
+        let [new, busy, idle] = sockets.each_ref().map(|socket| Client::new(socket.handle()));
         let _ = tx.send(("new", new.evict() && !new.begin_message() && !new.complete_message()));
         let _ = tx.send(("busy", busy.complete_message() && !busy.evict() && busy.eviction_rank().is_none()));
         idle.complete_message();
--- a/crates/edge/src/command.rs
+++ b/crates/edge/src/command.rs
@@ -57,15 +57,15 @@
 
     fn apply(self, running: &crate::Running) -> Result<(), String> {
         match self {
-            ConfigFile::Native(config) => running.renew(*config),
-            ConfigFile::Platform(platform) => running.renew_on_platform(*platform),
+            ConfigFile::Native(config) => running.reload(*config),
+            ConfigFile::Platform(platform) => running.reload_on_platform(*platform),
         }
     }
 
     fn start(self) -> std::io::Result<crate::Running> {
         match self {
             ConfigFile::Native(config) => crate::start(*config),
-            ConfigFile::Platform(platform) => crate::start_on_platform(*platform),
+            ConfigFile::Platform(platform) => crate::start_platform(*platform),
         }
     }
 }
@@ -125,7 +125,7 @@
                 return ExitCode::FAILURE;
             }
         };
-        tracing::info!(listens = %running.listens, "started");
+        tracing::info!(listens = %running.listen_addr, "started");
         let signal = signals.forever().find(|signal| {
             if *signal == SIGHUP {
                 reload(&running, &file, self.platform);
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -10,7 +10,7 @@
 
 use crate::dialect::Dialect;
 use crate::pool::Pool;
-use ivydrift_sockets::{out_of_descriptors, Look, Socket};
+use ivydrift_sockets::{out_of_descriptors, Socket, SocketHandle};
 
 /// An answer up to this many bytes is buffered until complete, so that another pick can still replace one
 /// that breaks off.
@@ -117,7 +117,7 @@
 /// Gives access to a pick's connection while it is in use, so that another coroutine can cancel the pick.
 pub trait PickHandle {
     /// Registers the connection. Returns false if the pick was cancelled in the meantime.
-    fn attach(&self, look: Look) -> bool;
+    fn attach(&self, socket_handle: SocketHandle) -> bool;
     /// Whether the pick was cancelled.
     fn is_cancelled(&self) -> bool;
 }
@@ -167,7 +167,7 @@
                 }
             },
         };
-        if !handle.attach(socket.look()) {
+        if !handle.attach(socket.handle()) {
             return (Observation::NotAttempted, None);
         }
         let write_began = Instant::now();
@@ -239,7 +239,7 @@
         let (chunk, last) = match caller.read_body(left.min(EARLY_ANSWER_POLL)) {
             BodyRead::End if !chunked => return Upload::Complete,
             // After an early answer, sending the rest of the body is pointless.
-            _ if !socket.quiet() => return Upload::EarlyAnswer,
+            _ if !socket.is_idle() => return Upload::EarlyAnswer,
             BodyRead::Pending if left > EARLY_ANSWER_POLL => continue,
             BodyRead::Pending | BodyRead::Failed => return Upload::Failed,
             BodyRead::End => (encode_chunk(&[]), true),
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -40,9 +40,9 @@
 use clients::Client;
 use dialect::Dialect;
 pub use guard::{Violations, WithheldCounts};
-use ivydrift_sockets::coroutine::{self, go, pause, restart_on_panic};
+use ivydrift_sockets::coroutine::{self, restart_on_panic, sleep, spawn};
 use pool::Pool;
-pub use running::{start, start_on_platform, Running};
+pub use running::{start, start_platform, Running};
 
 /// The shell's clock starts this long before the process, so that nodes that started earlier have a positive
 /// age.
@@ -379,7 +379,7 @@
         let in_progress: Vec<(Id, Arc<Client>)> =
             self.in_progress.lock().unwrap().iter().map(|(id, c)| (*id, c.clone())).collect();
         for (id, client) in in_progress {
-            if client.look.left() {
+            if client.socket_handle.peer_closed() {
                 self.dispatch(Input::ClientLeft { id }, 0);
                 client.mark_disconnected();
             }
@@ -440,7 +440,7 @@
 
 /// Binds the addresses and sets up a marshal's state; no coroutine runs yet.
 fn set_up(config: Config, dialect: Dialect) -> io::Result<(Arc<Edge>, Listener)> {
-    coroutine::prepare(config.limits.worker_threads);
+    coroutine::configure_runtime(config.limits.worker_threads);
     let listener = listen(config.addresses.listen)?;
     let peers = match config.addresses.peers.get(config.rollout.marshal) {
         Some(own) => Some(UdpSocket::bind(own)?),
@@ -483,17 +483,17 @@
 /// Returns the listening address and the accept loop's waker.
 fn run(edge: &Arc<Edge>, listener: Listener) -> (SocketAddr, Waker) {
     let waker = listener.waker();
-    let listens = listener.local_addr().unwrap_or_else(|_| edge.settings().addresses.listen);
+    let listen_addr = listener.local_addr().unwrap_or_else(|_| edge.settings().addresses.listen);
     watch::watch_controller(edge, &edge.primary);
     start_timers(edge);
     start_peer_receiver(edge);
     let accepting = edge.clone();
-    go(move || {
+    spawn(move || {
         restart_on_panic(|| clients::accept(&accepting, &listener));
         drop(listener);
         accepting.accepting.store(false, Ordering::Release);
     });
-    (listens, waker)
+    (listen_addr, waker)
 }
 
 /// Starts the timer coroutine and the one that checks clients and idle connections.
@@ -501,9 +501,9 @@
     // Set before the first round, so that a stall before it is detected.
     edge.last_tick_ms.store(edge.now().as_millis() as u64, Ordering::Relaxed);
     let ticking = edge.clone();
-    go(move || restart_on_panic(|| run_ticks(&ticking)));
+    spawn(move || restart_on_panic(|| run_ticks(&ticking)));
     let maintained = edge.clone();
-    go(move || restart_on_panic(|| run_maintenance(&maintained)));
+    spawn(move || restart_on_panic(|| run_maintenance(&maintained)));
 }
 
 /// Sends the core a tick whenever one is due, and detects stalls. Never returns.
@@ -511,7 +511,7 @@
     loop {
         let due = ticking.core.lock().unwrap().next_tick();
         let wait = due.saturating_sub(ticking.now()).min(Duration::from_millis(20));
-        pause(wait.max(Duration::from_micros(500)));
+        sleep(wait.max(Duration::from_micros(500)));
         // Measured from the last round, not the last pause: a stall may begin anywhere in a round.
         let (now, last_tick) =
             (ticking.now(), Duration::from_millis(ticking.last_tick_ms.load(Ordering::Relaxed)));
@@ -530,7 +530,7 @@
 /// Checks clients and idle connections and logs the counts. Never returns.
 fn run_maintenance(edge: &Arc<Edge>) {
     for round in 0u64.. {
-        pause(DISCONNECT_CHECK_INTERVAL);
+        sleep(DISCONNECT_CHECK_INTERVAL);
         edge.report_disconnects();
         if edge.closing() {
             edge.close_idle_clients();
@@ -541,7 +541,7 @@
         if round % 200 == 199 {
             let counts = edge.counts();
             let clients = edge.clients.lock().unwrap().len();
-            let (idle_to_nodes, coroutines) = (edge.pool.len(), coroutine::alive());
+            let (idle_to_nodes, coroutines) = (edge.pool.len(), coroutine::live_count());
             let (services, bytes) = edge.service_stats();
             let (withheld, violations) = (edge.guard.withheld(), edge.guard.violations());
             tracing::info!(
@@ -561,7 +561,7 @@
 
 fn start_peer_receiver(edge: &Arc<Edge>) {
     let edge = edge.clone();
-    go(move || restart_on_panic(|| receive_from_peers(&edge)));
+    spawn(move || restart_on_panic(|| receive_from_peers(&edge)));
 }
 
 /// Receives datagrams from peers. Never returns.
@@ -580,7 +580,7 @@
                     None => drop(edge.dispatch(Input::PeerDatagram(&datagram[..n]), 0)),
                 }
             }
-            Err(_) => pause(Duration::from_millis(5)),
+            Err(_) => sleep(Duration::from_millis(5)),
         }
     }
 }
--- a/crates/edge/src/membership.rs
+++ b/crates/edge/src/membership.rs
@@ -11,7 +11,7 @@
 
 use ivydrift_marshal::{DiscoverySignal, Input};
 use ivydrift_platform::members::MAX_LIST_BYTES;
-use ivydrift_sockets::coroutine::{go, pause};
+use ivydrift_sockets::coroutine::{sleep, spawn};
 
 use crate::dialect::Platform;
 use crate::query::{QueryClient, QueryError};
@@ -72,7 +72,7 @@
 /// Watches the list until a call fails; the core then decides when to ask again.
 pub fn watch(edge: &Arc<Edge>, claim: WatchClaim, address_generation: u64) {
     let edge = edge.clone();
-    go(move || {
+    spawn(move || {
         let Some(platform) = edge.dialect.platform() else { return };
         let client = QueryClient::new(edge.settings().addresses.node_list, edge.marshal);
         let mut watch =
@@ -114,7 +114,7 @@
             Ok(()) => {
                 (self.continues_watch, self.retried) = (true, false);
                 edge.log_rejected_nodes(&edge.primary);
-                pause(MIN_CALL_INTERVAL.saturating_sub(call.started.elapsed()));
+                sleep(MIN_CALL_INTERVAL.saturating_sub(call.started.elapsed()));
                 AfterFailure::Retry
             }
             Err(why) => self.after_failure(&call, &why),
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -8,7 +8,7 @@
 
 use ivydrift_marshal::{Ballot, Input};
 use ivydrift_platform::controller::{self, Line};
-use ivydrift_sockets::coroutine::{go, pause, restart_on_panic};
+use ivydrift_sockets::coroutine::{restart_on_panic, sleep, spawn};
 use ivydrift_sockets::Socket;
 use ivydrift_wire::controller::{
     ControllerCounts, Counted, DisputeReport, RolloutUpdate, Stage, Vote, VoteAnswer,
@@ -87,7 +87,7 @@
 /// Watches the rollout controller until it moves.
 pub fn watch_controller(edge: &Arc<Edge>, address_generation: u64, to: SocketAddr) {
     let edge = edge.clone();
-    go(move || restart_on_panic(|| run_watch(&edge, address_generation, to)));
+    spawn(move || restart_on_panic(|| run_watch(&edge, address_generation, to)));
 }
 
 /// Reconnects and reads lines until the controller moves.
@@ -116,7 +116,7 @@
             let wait = backoff(Duration::from_millis(100), failures);
             tracing::warn!(%why, wait_ms = wait.as_millis() as u64, "release desk lost");
             failures += 1;
-            pause(wait);
+            sleep(wait);
         }
     }
 }
--- a/crates/edge/src/pool/mod.rs
+++ b/crates/edge/src/pool/mod.rs
@@ -91,7 +91,7 @@
                 }
                 (idle_for, stack.remove(at).1)
             };
-            if idle_for < self.idle_timeout() && socket.quiet() {
+            if idle_for < self.idle_timeout() && socket.is_idle() {
                 return Some(socket);
             }
         }
@@ -128,7 +128,7 @@
         let mut idle = self.idle.lock().unwrap();
         self.closed.lock().unwrap().retain(|_, at| at.elapsed() < CLOSED_RETENTION);
         idle.retain(|_, stack| {
-            stack.retain(|(at, socket)| !all && at.elapsed() < self.idle_timeout() && socket.quiet());
+            stack.retain(|(at, socket)| !all && at.elapsed() < self.idle_timeout() && socket.is_idle());
             !stack.is_empty()
         });
     }
--- a/crates/edge/src/pool/tests.rs
+++ b/crates/edge/src/pool/tests.rs
@@ -2,12 +2,12 @@
 use std::sync::mpsc;
 
 use super::*;
-use ivydrift_sockets::coroutine::{go, prepare};
+use ivydrift_sockets::coroutine::{configure_runtime, spawn};
 
 fn run_on_coroutine<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
-    prepare(2);
+    configure_runtime(2);
     let (tx, rx) = mpsc::channel();
-    go(move || {
+    spawn(move || {
         let _ = tx.send(work());
     });
     rx.recv_timeout(Duration::from_secs(5)).unwrap()
--- a/crates/edge/src/query.rs
+++ b/crates/edge/src/query.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ivydrift_sockets::{Look, Socket};
+use ivydrift_sockets::{Socket, SocketHandle};
 use ivydrift_wire::http::HeadWriter;
 use ivydrift_wire::{list, message};
 use rand::RngExt;
@@ -16,13 +16,13 @@
 
 /// The connection on which a query waits, so that another coroutine can end the wait.
 #[derive(Clone, Default)]
-pub struct QueryHandle(Arc<Mutex<Option<Look>>>);
+pub struct QueryHandle(Arc<Mutex<Option<SocketHandle>>>);
 
 impl QueryHandle {
     /// Shuts down the connection, which ends the wait.
     pub fn abort(&self) {
-        if let Some(look) = &*self.0.lock().unwrap() {
-            look.cut();
+        if let Some(socket_handle) = &*self.0.lock().unwrap() {
+            socket_handle.shutdown();
         }
     }
 }
@@ -105,11 +105,11 @@
         &mut self, http_method: &str, path: &str, body: &[u8], max_bytes: usize, timeout: Duration,
     ) -> Result<Reply, QueryError> {
         let deadline = Instant::now() + timeout;
-        let mut socket = match self.socket.take().filter(Socket::quiet) {
+        let mut socket = match self.socket.take().filter(Socket::is_idle) {
             Some(socket) => socket,
             None => Socket::connect(self.to, timeout.min(CONNECT_TIMEOUT)).map_err(QueryError::Connect)?,
         };
-        *self.handle.0.lock().unwrap() = Some(socket.look());
+        *self.handle.0.lock().unwrap() = Some(socket.handle());
         let bytes = self.request_bytes(http_method, path, body);
         socket.write(&bytes, deadline).map_err(|(_, e)| QueryError::from_io(e))?;
         let (mut buf, mut chunk) = (Vec::new(), [0; 8192]);
--- a/crates/edge/src/running.rs
+++ b/crates/edge/src/running.rs
@@ -21,15 +21,15 @@
 pub struct Running {
     edge: Arc<Edge>,
     /// The address that clients connect to.
-    pub listens: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Wakes the accept loop.
     waker: Waker,
 }
 
 impl Running {
     fn begin(edge: Arc<Edge>, listener: Listener) -> Self {
-        let (listens, waker) = run(&edge, listener);
-        Running { edge, listens, waker }
+        let (listen_addr, waker) = run(&edge, listener);
+        Running { edge, listen_addr, waker }
     }
 }
 
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// If its address cannot be bound.
-pub fn start_on_platform(platform: PlatformConfig) -> io::Result<Running> {
+pub fn start_platform(platform: PlatformConfig) -> io::Result<Running> {
     let (known_nodes, config) = (platform.catalog.nodes(), platform.config);
     let (edge, listener) = set_up(config, Dialect::Platform(dialect::Platform::new(platform.catalog)))?;
     // Data known from before is passed on first, since everything received later is newer.
@@ -77,19 +77,19 @@
     ///
     /// # Errors
     /// Names what cannot change in a running marshal; the earlier config stays in force.
-    pub fn renew(&self, config: Config) -> Result<(), String> {
-        self.reload(config, None)
+    pub fn reload(&self, config: Config) -> Result<(), String> {
+        self.apply_config(config, None)
     }
 
-    /// Like [`Running::renew`], from the contents of the platform's file.
+    /// Like [`Running::reload`], from the contents of the platform's file.
     ///
     /// # Errors
-    /// As for [`Running::renew`].
-    pub fn renew_on_platform(&self, platform: PlatformConfig) -> Result<(), String> {
-        self.reload(platform.config, Some(&platform.catalog))
+    /// As for [`Running::reload`].
+    pub fn reload_on_platform(&self, platform: PlatformConfig) -> Result<(), String> {
+        self.apply_config(platform.config, Some(&platform.catalog))
     }
 
-    fn reload(&self, config: Config, known_nodes: Option<&Catalog>) -> Result<(), String> {
+    fn apply_config(&self, config: Config, known_nodes: Option<&Catalog>) -> Result<(), String> {
         let (edge, new, limits) = (&self.edge, Settings::of(&config), config.rollout.limits);
         edge.core.lock().unwrap().reconfigure(config)?;
         edge.pool.set_limits(&new.limits, limits.idle_timeout);
@@ -122,7 +122,7 @@
     }
 
     /// Number of nodes known to be ready.
-    pub fn nodes(&self) -> usize {
+    pub fn ready_nodes(&self) -> usize {
         self.edge.ready_nodes()
     }
 
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -11,7 +11,7 @@
 use crate::query::{backoff, QueryClient, QueryError};
 use crate::services::{HeldService, WatchClaim};
 use crate::{membership, platform, Edge};
-use ivydrift_sockets::coroutine::{go, pause};
+use ivydrift_sockets::coroutine::{sleep, spawn};
 
 /// The longest time for which the rollout controller holds a query.
 const CONTROLLER_HOLD: Duration = Duration::from_secs(5);
@@ -30,7 +30,7 @@
         return membership::watch(edge, claim, address_generation);
     }
     let (edge, held) = (edge.clone(), held.clone());
-    go(move || {
+    spawn(move || {
         let why = match watch_native(&edge, &held, &claim, address_generation) {
             Some(why) => why,
             None => return,
@@ -77,7 +77,7 @@
         // The index of a restarted list begins again at the front.
         index = if new_index < index { 0 } else { new_index };
         if new_index == 0 {
-            pause(Duration::from_secs(1));
+            sleep(Duration::from_secs(1));
         }
     }
 }
@@ -99,7 +99,7 @@
         return platform::watch_controller(edge, address_generation, controller_addr);
     }
     let (edge, held) = (edge.clone(), held.clone());
-    go(move || {
+    spawn(move || {
         let mut client = QueryClient::with_handle(&held.controller_query, controller_addr, edge.marshal);
         let (mut index, mut failures) = (0, 0);
         while !edge.stopping() {
@@ -130,7 +130,7 @@
                     let wait = backoff(Duration::from_millis(200), failures);
                     tracing::warn!(why, wait_ms = wait.as_millis() as u64, "release desk lost");
                     failures += 1;
-                    pause(wait);
+                    sleep(wait);
                 }
             }
         }
@@ -163,7 +163,7 @@
     }
     drop(votes);
     let (edge, held) = (edge.clone(), held.clone());
-    go(move || {
+    spawn(move || {
         let mut vote = vote;
         loop {
             let ballot = match &edge.dialect {
--- a/crates/measure/src/scale/real.rs
+++ b/crates/measure/src/scale/real.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ivydrift_sockets::coroutine::prepare;
+use ivydrift_sockets::coroutine::configure_runtime;
 
 use super::hollow::marshal::Counts;
 use super::hollow::script::{Addresses, Script};
@@ -169,7 +169,7 @@
 }
 
 fn run_real(marshals: usize, schedule: &Schedule) -> Result<Results, Error> {
-    prepare(2);
+    configure_runtime(2);
     let (pid, unix) =
         (std::process::id(), || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
     let run_dir = RunDir(std::env::temp_dir().join(format!("ivydrift-measure-{pid}-{marshals}")));
--- a/crates/sockets/src/coroutine.rs
+++ b/crates/sockets/src/coroutine.rs
@@ -1,6 +1,6 @@
 //! The only place that starts coroutines. `may` marks this unsafe for two reasons, and both conditions are
 //! met here: a coroutine must not use thread-locals across a yield (none does), nor overflow its stack (set
-//! once in [`prepare`] to eight times may's default, and nothing here recurses).
+//! once in [`configure_runtime`] to eight times may's default, and nothing here recurses).
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,7 +19,7 @@
 const SPARE_STACKS: usize = 32;
 
 /// Configures the runtime; must be called before the first coroutine starts.
-pub fn prepare(workers: usize) {
+pub fn configure_runtime(workers: usize) {
     let config = may::config();
     config.set_workers(workers).set_stack_size(STACK_WORDS).set_pool_capacity(SPARE_STACKS);
     // may pins its nth worker to the nth core, so several processes on one machine would all compete for the
@@ -41,7 +41,7 @@
 
 /// Starts a coroutine.
 #[allow(unsafe_code)]
-pub fn go(body: impl FnOnce() + Send + 'static) {
+pub fn spawn(body: impl FnOnce() + Send + 'static) {
     ALIVE_COUNT.fetch_add(1, Ordering::Relaxed);
     let alive = AliveGuard;
     let counted = move || {
@@ -60,17 +60,17 @@
 /// panic itself has been reported by then.
 pub fn restart_on_panic(mut task: impl FnMut()) {
     while catch_unwind(AssertUnwindSafe(&mut task)).is_err() {
-        pause(RESTART_DELAY);
+        sleep(RESTART_DELAY);
     }
 }
 
 /// Number of coroutines of this process that have not ended.
-pub fn alive() -> usize {
+pub fn live_count() -> usize {
     ALIVE_COUNT.load(Ordering::Relaxed)
 }
 
 /// Waits until the given time. On a thread that runs no coroutines this blocks the thread.
-pub fn pause_until(at: Instant) {
+pub fn sleep_until(at: Instant) {
     if at > Instant::now() {
         let woken = Arc::new(Semphore::new(0));
         post_at(at, woken.clone());
@@ -79,13 +79,13 @@
 }
 
 /// Waits for this long. On a thread that runs no coroutines this blocks the thread.
-pub fn pause(span: Duration) {
-    pause_until(Instant::now() + span);
+pub fn sleep(span: Duration) {
+    sleep_until(Instant::now() + span);
 }
 
 /// Waits for a post, for at most this long. The clock posts too, and may do so late, so the caller has to
 /// check why it was woken.
-pub fn wait(semaphore: &Arc<Semphore>, span: Duration) {
+pub fn wait_timeout(semaphore: &Arc<Semphore>, span: Duration) {
     post_at(Instant::now() + span, semaphore.clone());
     semaphore.wait();
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -9,4 +9,4 @@
 mod socket;
 
 pub use listen::{listen, Listener, Waker};
-pub use socket::{out_of_descriptors, Look, Socket};
+pub use socket::{out_of_descriptors, Socket, SocketHandle};
--- a/crates/sockets/src/socket.rs
+++ b/crates/sockets/src/socket.rs
@@ -17,7 +17,7 @@
 use socket2::{Domain, SockRef, Type};
 
 use crate::clock::ReadTimeout;
-use crate::coroutine::pause;
+use crate::coroutine::sleep;
 
 /// EINPROGRESS and EINTR: in both cases the connect continues.
 const CONNECT_IN_PROGRESS: [i32; 2] = [115, 4];
@@ -33,13 +33,13 @@
 /// A TCP connection, owned by the coroutine that reads and writes it.
 pub struct Socket {
     stream: TcpStream,
-    look: Look,
+    handle: SocketHandle,
     read_timeout: Arc<ReadTimeout>,
 }
 
 /// Access to a connection for coroutines other than its owner. Has no effect once the owner has closed it.
 #[derive(Clone)]
-pub struct Look {
+pub struct SocketHandle {
     fd: Arc<Mutex<Option<RawFd>>>,
     /// The connection was shut down: nothing more is read, since bytes that were read would count as
     /// accepted.
@@ -50,9 +50,9 @@
     ErrorKind::TimedOut.into()
 }
 
-impl Look {
+impl SocketHandle {
     /// Whether the peer has closed or reset the connection, as far as that is visible behind unread bytes.
-    pub fn left(&self) -> bool {
+    pub fn peer_closed(&self) -> bool {
         match self.with_open(|socket| socket.peek(&mut [MaybeUninit::uninit()])) {
             None => true,
             Some(Ok(n)) => n == 0,
@@ -72,13 +72,13 @@
     }
 
     /// Whether the connection is open and has no unread bytes, as an idle connection must.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let seen = self.with_open(|socket| socket.peek(&mut [MaybeUninit::uninit()]));
         seen.is_some_and(|seen| seen.is_err_and(|e| e.kind() == ErrorKind::WouldBlock))
     }
 
     /// Shuts down both directions. A waiting read wakes up, and nothing more is read.
-    pub fn cut(&self) {
+    pub fn shutdown(&self) {
         self.shut_down.store(true, Ordering::Release);
         self.with_open(|socket| socket.shutdown(Shutdown::Both));
     }
@@ -86,7 +86,7 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        *self.look.fd.lock().unwrap() = None;
+        *self.handle.fd.lock().unwrap() = None;
     }
 }
 
@@ -96,9 +96,9 @@
         // Heads and answers are written in one piece; waiting to fill segments would only delay them.
         let _ = stream.set_nodelay(true);
         let fd = Arc::new(Mutex::new(Some(stream.inner().as_raw_fd())));
-        let look = Look { fd, shut_down: Arc::default() };
+        let handle = SocketHandle { fd, shut_down: Arc::default() };
         let read_timeout = ReadTimeout::new(stream.waker());
-        Socket { stream, look, read_timeout }
+        Socket { stream, handle, read_timeout }
     }
 
     /// Opens a connection within the given time.
@@ -137,8 +137,8 @@
     }
 
     /// Access to this connection for other coroutines.
-    pub fn look(&self) -> Look {
-        self.look.clone()
+    pub fn handle(&self) -> SocketHandle {
+        self.handle.clone()
     }
 
     /// Reads available bytes, waiting until `deadline` for the first one.
@@ -150,7 +150,7 @@
             self.read_timeout.arm(deadline);
         }
         let done = loop {
-            if self.look.shut_down.load(Ordering::Acquire) {
+            if self.handle.shut_down.load(Ordering::Acquire) {
                 break Ok(0);
             }
             match self.stream.inner().read(buf) {
@@ -190,7 +190,7 @@
                     if Instant::now() >= deadline {
                         return Err((done, timed_out()));
                     }
-                    pause(wait);
+                    sleep(wait);
                     wait = (wait * 2).min(Duration::from_millis(10));
                 }
                 Err(e) => return Err((done, e)),
@@ -199,24 +199,24 @@
         Ok(())
     }
 
-    /// See [`Look::left`].
-    pub fn left(&self) -> bool {
-        self.look.left()
+    /// See [`SocketHandle::left`].
+    pub fn peer_closed(&self) -> bool {
+        self.handle.peer_closed()
     }
 
     /// Whether the connection is open and has no unread bytes, as an idle connection must.
-    pub fn quiet(&self) -> bool {
-        self.look.quiet()
+    pub fn is_idle(&self) -> bool {
+        self.handle.is_idle()
     }
 
-    /// See [`Look::cut`].
-    pub fn cut(&self) {
-        self.look.cut();
+    /// See [`SocketHandle::cut`].
+    pub fn shutdown(&self) {
+        self.handle.shutdown();
     }
 
     /// Closes the write side, then reads and discards for at most `timeout`: closing with unread bytes would
     /// reset the connection and lose the last answer (RFC 9112, section 9.6).
-    pub fn close_gently(&mut self, timeout: Duration) {
+    pub fn close_with_drain(&mut self, timeout: Duration) {
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
