--- a/crates/commons/src/large_state.rs
+++ b/crates/commons/src/large_state.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use ivydrift_leases::order::order;
-use ivydrift_leases::Number;
+use ivydrift_leases::MemberIndex;
 use serde::{Deserialize, Serialize};
 
 /// Maximum size of a state.
-pub const STATE_BYTES: usize = 64 * 1024;
+pub const MAX_STATE_BYTES: usize = 64 * 1024;
 /// Size of one piece.
 pub const PIECE_BYTES: usize = 1000;
 /// Maximum number of states held, our own included; beyond it the state that was requested first is dropped.
-pub const STATES: usize = 16;
+pub const MAX_STATES: usize = 16;
 /// Maximum number of marshals that fetch directly from one marshal.
 const FAN_OUT: usize = 4;
 /// Maximum rate of piece requests sent per second, and the maximum burst.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
     /// The marshal that publishes the state.
-    pub owner: Number,
+    pub owner: MemberIndex,
     /// Number of the state among the owner's.
     pub id: u16,
 }
@@ -49,7 +49,7 @@
 impl Notice {
     /// The notice for these bytes; `None` if they are too long.
     pub fn of(version: u32, bytes: &[u8]) -> Option<Notice> {
-        (bytes.len() <= STATE_BYTES).then(|| Notice {
+        (bytes.len() <= MAX_STATE_BYTES).then(|| Notice {
             version,
             length: bytes.len() as u32,
             digest: digest(bytes),
@@ -69,7 +69,7 @@
 
 /// A message between marshals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Requests one piece.
     Ask { key: Key, version: u32, piece: u16 },
     /// Carries one piece; all but the last have [`PIECE_BYTES`].
@@ -109,7 +109,7 @@
 
 /// The states of one marshal: its own, and those that it fetches from others.
 pub struct States {
-    me: Number,
+    me: MemberIndex,
     states: BTreeMap<Key, State>,
     request_budget: TokenBucket,
     answer_budget: TokenBucket,
@@ -118,7 +118,7 @@
 
 impl States {
     /// No states yet.
-    pub fn new(me: Number, now: Duration) -> Self {
+    pub fn new(me: MemberIndex, now: Duration) -> Self {
         let bucket = |rate| TokenBucket { tokens: rate, refilled_at: now };
         States {
             me,
@@ -130,12 +130,12 @@
     }
 
     /// Sets our own state and returns the notice to publish; `None` if it is too long or if we already have
-    /// [`STATES`] of our own.
+    /// [`MAX_STATES`] of our own.
     pub fn offer(&mut self, now: Duration, id: u16, version: u32, bytes: &[u8]) -> Option<Notice> {
         let notice = Notice::of(version, bytes)?;
         let key = Key { owner: self.me, id };
         let own = self.states.keys().filter(|k| k.owner == self.me).count();
-        if own >= STATES && !self.states.contains_key(&key) {
+        if own >= MAX_STATES && !self.states.contains_key(&key) {
             return None;
         }
         self.insert_state(now, key, notice);
@@ -149,7 +149,7 @@
     /// Starts to fetch another owner's state as its notice describes it; an earlier version is dropped.
     pub fn want(&mut self, now: Duration, key: Key, notice: Notice) {
         let known = self.states.get(&key).is_some_and(|s| s.notice == notice);
-        if !known && key.owner != self.me && notice.length as usize <= STATE_BYTES {
+        if !known && key.owner != self.me && notice.length as usize <= MAX_STATE_BYTES {
             self.insert_state(now, key, notice);
         }
     }
@@ -168,7 +168,7 @@
             sequence,
         };
         self.states.insert(key, state);
-        if self.states.len() > STATES {
+        if self.states.len() > MAX_STATES {
             let others = self.states.iter().filter(|(k, _)| k.owner != self.me);
             let oldest = others.min_by_key(|(_, s)| s.sequence).map(|(k, _)| *k);
             oldest.into_iter().for_each(|k| drop(self.states.remove(&k)));
@@ -182,9 +182,9 @@
     }
 
     /// Piece requests to send now. `marshals`: all configured marshals; `present`: whether a marshal is up.
-    pub fn beat(
-        &mut self, now: Duration, marshals: &[Number], present: &dyn Fn(Number) -> bool,
-    ) -> Vec<(Number, Word)> {
+    pub fn tick(
+        &mut self, now: Duration, marshals: &[MemberIndex], present: &dyn Fn(MemberIndex) -> bool,
+    ) -> Vec<(MemberIndex, Message)> {
         let (me, mut out) = (self.me, Vec::new());
         for (&key, state) in self.states.iter_mut().filter(|(_, s)| s.complete.is_none()) {
             let path = ancestors(me, key, marshals, present);
@@ -198,7 +198,7 @@
                     && requested_at.is_none_or(|at| now >= at + REQUEST_TIMEOUT);
                 if due && self.request_budget.take(now, MAX_REQUESTS_PER_SECOND) {
                     *requested_at = Some(now);
-                    out.push((to, Word::Ask { key, version, piece: piece as u16 }));
+                    out.push((to, Message::Ask { key, version, piece: piece as u16 }));
                 }
             }
         }
@@ -206,19 +206,19 @@
     }
 
     /// Handles a message from another marshal; returns the answer to send, if any.
-    pub fn hear(&mut self, now: Duration, word: Word) -> Option<Word> {
-        match word {
-            Word::Ask { key, version, piece } => {
+    pub fn receive(&mut self, now: Duration, message: Message) -> Option<Message> {
+        match message {
+            Message::Ask { key, version, piece } => {
                 let state = self.states.get(&key).filter(|s| s.notice.version == version)?;
                 let bytes = state.pieces.get(usize::from(piece))?.clone()?;
-                self.answer_budget.take(now, MAX_PIECES_PER_SECOND).then_some(Word::Piece {
+                self.answer_budget.take(now, MAX_PIECES_PER_SECOND).then_some(Message::Piece {
                     key,
                     version,
                     piece,
                     bytes,
                 })
             }
-            Word::Piece { key, version, piece, bytes } => {
+            Message::Piece { key, version, piece, bytes } => {
                 let state = self
                     .states
                     .get_mut(&key)
@@ -254,11 +254,13 @@
 
 /// The marshals to fetch a state from, nearest first, the owner last. The tree consists of the owner at the
 /// root and the marshals that are present, in the order given by the key.
-fn ancestors(me: Number, key: Key, marshals: &[Number], present: &dyn Fn(Number) -> bool) -> Vec<Number> {
-    let others: Vec<Number> = marshals.iter().copied().filter(|n| *n != key.owner).collect();
+fn ancestors(
+    me: MemberIndex, key: Key, marshals: &[MemberIndex], present: &dyn Fn(MemberIndex) -> bool,
+) -> Vec<MemberIndex> {
+    let others: Vec<MemberIndex> = marshals.iter().copied().filter(|n| *n != key.owner).collect();
     let group = u64::from(key.owner) << 16 | u64::from(key.id);
     let present_in_order = order(group, &others).into_iter().filter(|n| *n == me || present(*n));
-    let chain: Vec<Number> = std::iter::once(key.owner).chain(present_in_order).collect();
+    let chain: Vec<MemberIndex> = std::iter::once(key.owner).chain(present_in_order).collect();
     let position = chain.iter().position(|n| *n == me).unwrap_or(0);
     let parent = |i: &usize| (*i > 0).then(|| (i - 1) / FAN_OUT);
     std::iter::successors(Some(position), parent).skip(1).map(|i| chain[i]).collect()
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The marshals of a zone report through the tree of their group to its leader ([`ivydrift_leases`]). The
 //! leader decides which fraction of the zone's traffic leaves ([`controller`]) from what many marshals
-//! observe ([`sight`]), and asks the leaders of other zones for spare capacity. Spare capacity is leased for
+//! observe ([`observation`]), and asks the leaders of other zones for spare capacity. Spare capacity is leased for
 //! a short time and by votes: each marshal gives its vote, and with it its share of its zone's spare
 //! capacity, to one leader at a time, so that leaders which do not know of each other never lease the same
 //! capacity twice. What was leased goes down the tree as leases.
@@ -21,9 +21,9 @@
 use controller::{Controller, Stage};
 use ivydrift_leases::ledger::Ledger;
 use ivydrift_leases::{order::order, timed_out, Place, Tree, GRANT_TERM, LEASE_TERM, REPORT_LIFETIME};
-pub use ivydrift_leases::{Number, FAN_OUT, TICK_INTERVAL};
-use message::{Message, Move, Told, ZONES};
-use observation::{Sight, Sights};
+pub use ivydrift_leases::{MemberIndex, FAN_OUT, TICK_INTERVAL};
+use message::{Instruction, Message, ZoneReport, MAX_ZONES};
+use observation::{AggregatedObservation, Observation};
 
 /// Fraction of a zone's capacity that its own clients may use, and up to which spare capacity is leased to
 /// others.
@@ -37,13 +37,13 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     /// This marshal.
-    pub me: Number,
+    pub me: MemberIndex,
     /// Grows from start to start.
     pub life: u64,
     /// The zone of this marshal.
     pub zone: usize,
     /// The configured marshals of each zone, the dead included.
-    pub marshals: Vec<Vec<Number>>,
+    pub marshals: Vec<Vec<MemberIndex>>,
     /// Distance from this zone to each: 0 itself, 1 in the same region, 2 farther.
     pub distance: Vec<u8>,
     /// Warm-up time of a cold node.
@@ -58,14 +58,14 @@
     /// RPCs per second from its clients.
     pub demand: f32,
     /// Its observation of each zone.
-    pub zones: Vec<Sight>,
+    pub zones: Vec<Observation>,
 }
 
 /// An action that [`Failover`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     /// A datagram to send.
-    Send { to: Number, bytes: Vec<u8> },
+    Send { to: MemberIndex, bytes: Vec<u8> },
     /// A log line about a stage change, with its reason.
     Log(String),
 }
@@ -85,7 +85,7 @@
 #[derive(Default)]
 struct Source {
     /// The marshal that we ask, and since when.
-    asked: Option<(Number, Duration)>,
+    asked: Option<(MemberIndex, Duration)>,
     /// When it last answered.
     heard_at: Option<Duration>,
     version: u32,
@@ -109,15 +109,15 @@
 pub struct Failover {
     site: Site,
     /// The tree of our zone's marshals, this one included; each zone is a resource of its leases.
-    tree: Tree<Told, Move>,
+    tree: Tree<ZoneReport, Instruction>,
     /// The marshals of each zone in the order that all agree on.
-    order: Vec<Vec<Number>>,
+    order: Vec<Vec<MemberIndex>>,
     /// Failover state of our zone, while we lead it.
     controller: Controller,
     sources: Vec<Source>,
     /// Since when near zones have left demand unplaced.
     unplaced_since: Option<Duration>,
-    requesters: BTreeMap<Number, Requester>,
+    requesters: BTreeMap<MemberIndex, Requester>,
     /// What we leased to other zones' leaders.
     ledger: Ledger,
     out: Vec<Out>,
@@ -128,12 +128,12 @@
 }
 
 impl Failover {
-    /// `None` if there is only one zone, if there are more than [`ZONES`], or if the configuration does not
+    /// `None` if there is only one zone, if there are more than [`MAX_ZONES`], or if the configuration does not
     /// place this marshal.
     pub fn new(site: Site, now: Duration) -> Option<Self> {
         let zones = site.marshals.len();
         let known = site.marshals.get(site.zone)?.contains(&site.me) && site.distance.len() == zones;
-        if !known || !(2..=ZONES).contains(&zones) {
+        if !known || !(2..=MAX_ZONES).contains(&zones) {
             return None;
         }
         let place = Place {
@@ -174,13 +174,15 @@
     }
 
     /// The marshal that this one reports to; `None` if it is its zone's leader as far as it knows.
-    pub fn parent_number(&self) -> Option<Number> {
+    pub fn parent_number(&self) -> Option<MemberIndex> {
         self.tree.parent_number()
     }
 
     /// Advances the state; to be called every [`TICK_INTERVAL`]. `present`: whether membership sees a marshal
     /// as up.
-    pub fn tick(&mut self, now: Duration, snapshot: &Snapshot, present: &dyn Fn(Number) -> bool) -> Vec<Out> {
+    pub fn tick(
+        &mut self, now: Duration, snapshot: &Snapshot, present: &dyn Fn(MemberIndex) -> bool,
+    ) -> Vec<Out> {
         self.requesters.retain(|_, requester| now < requester.seen + REPORT_LIFETIME);
         self.ledger.expire(now);
         let outcome = self.tree.tick(now, present);
@@ -192,15 +194,16 @@
         }
         let zones = self.order.len();
         let observation = |z: usize| snapshot.zones.get(z).copied().unwrap_or_default();
-        let mut sights: Vec<Sights> = (0..zones).map(|z| Sights::of(&observation(z))).collect();
+        let mut observations: Vec<AggregatedObservation> =
+            (0..zones).map(|z| AggregatedObservation::of(&observation(z))).collect();
         let mut demand = snapshot.demand.max(0.0);
         for report in self.tree.child_reports(now) {
             demand += report.demand;
-            sights.iter_mut().zip(&report.sights).for_each(|(merged, child)| merged.add(child));
+            observations.iter_mut().zip(&report.sights).for_each(|(merged, child)| merged.add(child));
         }
         if outcome.parent.is_none() {
-            self.decide(now, demand, &sights, present);
-        } else if let Some((to, up)) = self.tree.report(now, Told { demand, sights }) {
+            self.decide(now, demand, &observations, present);
+        } else if let Some((to, up)) = self.tree.report(now, ZoneReport { demand, sights: observations }) {
             self.send(to, Message::Up(up));
         }
         for (to, down) in self.tree.lease_out(now, snapshot.demand.max(0.0), |report| report.demand) {
@@ -211,8 +214,11 @@
 
     // ---- leader ----
 
-    fn decide(&mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool) {
-        let own_zone = sights[self.site.zone];
+    fn decide(
+        &mut self, now: Duration, demand: f32, observations: &[AggregatedObservation],
+        present: &dyn Fn(MemberIndex) -> bool,
+    ) {
+        let own_zone = observations[self.site.zone];
         let sustainable = own_zone.sustainable_rate(UTILIZATION_LIMITS[0]);
         let before = self.controller.stage;
         if let Some(sustainable) = sustainable {
@@ -230,14 +236,15 @@
                 own_zone.observers(),
             )));
         }
-        self.request_capacity(now, demand, sights, present);
+        self.request_capacity(now, demand, observations, present);
         self.grant_capacity(now, demand, &own_zone);
     }
 
     /// Asks other zones for spare capacity, near ones first, and uses what they granted as far as we observe
     /// spare capacity there ourselves.
     fn request_capacity(
-        &mut self, now: Duration, demand: f32, sights: &[Sights], present: &dyn Fn(Number) -> bool,
+        &mut self, now: Duration, demand: f32, observations: &[AggregatedObservation],
+        present: &dyn Fn(MemberIndex) -> bool,
     ) {
         let zones = self.order.len();
         let mut other_zones: Vec<usize> = (0..zones).filter(|z| *z != self.site.zone).collect();
@@ -246,10 +253,10 @@
         // A zone that by mistake reports ten times its spare capacity is believed only up to what we observe.
         let usable = |z: usize| {
             // Until the first of our RPCs has been answered there, go by the node list and start low.
-            let first = sights[z].sustainable_rate(INITIAL_UTILIZATION).unwrap_or(0.0);
-            let seen = sights[z]
+            let first = observations[z].sustainable_rate(INITIAL_UTILIZATION).unwrap_or(0.0);
+            let seen = observations[z]
                 .spare_rate(UTILIZATION_LIMITS[0])
-                .map_or(first, |spare| sights[z].sent + spare.max(0.0));
+                .map_or(first, |spare| observations[z].sent + spare.max(0.0));
             let source = &self.sources[z];
             if now < source.until {
                 source.rate.min(seen)
@@ -279,7 +286,7 @@
         }
         let ask_far = self.unplaced_since.is_some_and(|since| now >= since + ASK_FAR.1);
         let instruction =
-            Move { stage: message::encode_stage(self.controller.stage), part: self.controller.part };
+            Instruction { stage: message::encode_stage(self.controller.stage), part: self.controller.part };
         self.tree.set_lease(rates.clone(), until, instruction);
         for &z in &other_zones {
             let near = self.site.distance[z] <= 1;
@@ -298,7 +305,7 @@
                     self.tree.skip(now, number);
                 }
             }
-            let fits = |n: &&Number| present(**n) && !self.tree.is_skipped(**n);
+            let fits = |n: &&MemberIndex| present(**n) && !self.tree.is_skipped(**n);
             let Some(&to) = self.order[z].iter().find(fits) else { continue };
             if source.asked.is_none_or(|addressee| addressee.0 != to) {
                 // Another leader grants now: the earlier grant expires by itself and is not used beside it.
@@ -306,14 +313,14 @@
                 (source.version, source.holds) = (0, 0);
             }
             let (life, stamp, zone, holds) = (self.tree.life(), ms(now), self.site.zone as u16, source.holds);
-            let using = sights[z].sent;
+            let using = observations[z].sent;
             self.send(to, Message::Ask { life, stamp, zone, wish, using, holds });
         }
     }
 
     /// Leases our zone's spare capacity to the leaders that ask: what they already use, and of the remainder
     /// the share that our votes are of all the zone's marshals.
-    fn grant_capacity(&mut self, now: Duration, demand: f32, own_zone: &Sights) {
+    fn grant_capacity(&mut self, now: Duration, demand: f32, own_zone: &AggregatedObservation) {
         if self.requesters.is_empty() {
             return;
         }
@@ -336,8 +343,8 @@
             .min((own_zone.sustainable_rate(UTILIZATION_LIMITS[1]).unwrap_or(0.0) - own_zone.sent).max(0.0));
         // Near zones first; at equal distance the smaller wish first, each up to an equal share of the
         // remainder.
-        let mut order: Vec<Number> = self.requesters.keys().copied().collect();
-        let key = |n: &Number| {
+        let mut order: Vec<MemberIndex> = self.requesters.keys().copied().collect();
+        let key = |n: &MemberIndex| {
             let requester = &self.requesters[n];
             (self.site.distance[requester.zone], requester.wish)
         };
@@ -362,7 +369,7 @@
     // ---- received messages ----
 
     /// Handles a datagram from another marshal; a malformed one is ignored.
-    pub fn receive(&mut self, now: Duration, from: Number, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Duration, from: MemberIndex, bytes: &[u8]) {
         let Some(message) = Message::read(bytes) else { return };
         let at = |stamp: u64, span: u32| Duration::from_millis(stamp.saturating_add(span.into()));
         let zones = self.order.len();
@@ -401,7 +408,7 @@
         }
     }
 
-    fn send(&mut self, to: Number, message: Message) {
+    fn send(&mut self, to: MemberIndex, message: Message) {
         self.out.push(Out::Send { to, bytes: message.write() });
     }
 }
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -1,26 +1,26 @@
 //! Wire format of the messages between marshals about failover; a malformed message is dropped.
 
-use ivydrift_leases::message::{Down, Up};
+use ivydrift_leases::message::{Lease, Report};
 use serde::{Deserialize, Serialize};
 
 use crate::controller::Stage;
-use crate::observation::Sights;
+use crate::observation::AggregatedObservation;
 
 /// Maximum number of zones, so that a message fits a datagram.
-pub const ZONES: usize = 16;
+pub const MAX_ZONES: usize = 16;
 
 /// Body of a report up a zone's tree: demand and observations of the sender and its subtree.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ZoneReport {
     /// RPCs per second.
     pub demand: f32,
     /// Observations of each zone.
-    pub sights: Vec<Sights>,
+    pub sights: Vec<AggregatedObservation>,
 }
 
 /// Body of a message down a zone's tree: the zone's failover stage, see [`encode_stage`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Move {
+pub struct Instruction {
     /// The stage's code.
     pub stage: u8,
     /// Fraction of the zone's traffic that is to leave.
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A report up a zone's tree.
-    Up(Up<Told>),
+    Up(Report<ZoneReport>),
     /// A message down a zone's tree.
-    Down(Down<Move>),
+    Down(Lease<Instruction>),
     /// From one zone's leader to another's: requests a lease of spare capacity.
     Ask {
         /// The sender's life.
@@ -78,9 +78,9 @@
         let read: Message = postcard::from_bytes(bytes).ok()?;
         let valid_number = |x: f32| x.is_finite() && x >= 0.0;
         let valid = match &read {
-            Message::Up(Up { body, .. }) => valid_number(body.demand) && body.sights.len() <= ZONES,
-            Message::Down(Down { rates, body, .. }) => {
-                valid_number(body.part) && rates.len() <= ZONES && rates.iter().all(|r| valid_number(*r))
+            Message::Up(Report { body, .. }) => valid_number(body.demand) && body.sights.len() <= MAX_ZONES,
+            Message::Down(Lease { rates, body, .. }) => {
+                valid_number(body.part) && rates.len() <= MAX_ZONES && rates.iter().all(|r| valid_number(*r))
             }
             Message::Ask { wish, using, .. } => valid_number(*wish) && valid_number(*using),
             Message::Grant { rate, .. } => valid_number(*rate),
@@ -98,7 +98,7 @@
     }
 }
 
-/// The code of a stage in [`Move`].
+/// The code of a stage in [`Instruction`].
 pub fn encode_stage(stage: Stage) -> u8 {
     stage as u8
 }
--- a/crates/leases/src/ledger.rs
+++ b/crates/leases/src/ledger.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::Number;
+use crate::MemberIndex;
 
 /// A rate leased to one holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
 /// confirms which version it uses; that voids all earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    leases: BTreeMap<Number, Vec<Lease>>,
+    leases: BTreeMap<MemberIndex, Vec<Lease>>,
 }
 
 /// Maximum number of concurrent leases of one holder; at the limit it waits until one expires. The limit
@@ -41,7 +41,7 @@
     }
 
     /// The holder confirms that it uses this version or a later one.
-    pub fn confirm(&mut self, holder: Number, version: u32) {
+    pub fn confirm(&mut self, holder: MemberIndex, version: u32) {
         if let Some(all) = self.leases.get_mut(&holder) {
             if all.iter().any(|l| l.version == version) {
                 all.retain(|l| l.version >= version);
@@ -50,7 +50,7 @@
     }
 
     /// The maximum rate that this holder may be using.
-    pub fn max_rate(&self, holder: Number) -> f32 {
+    pub fn max_rate(&self, holder: MemberIndex) -> f32 {
         let all = self.leases.get(&holder).into_iter().flatten();
         all.map(|l| l.rate).fold(0.0, f32::max)
     }
@@ -67,7 +67,7 @@
     /// the maximum in use, so a shrinking total reduces all leases in proportion instead of leaving the first
     /// ones with nothing.
     pub fn lend(
-        &mut self, now: Duration, version: u32, wishes: &[(Number, f32)], total: f32, until: Duration,
+        &mut self, now: Duration, version: u32, wishes: &[(MemberIndex, f32)], total: f32, until: Duration,
     ) -> Vec<f32> {
         self.expire(now);
         let sum: f32 = wishes.iter().map(|w| w.1.max(0.0)).sum();
@@ -77,7 +77,7 @@
         let available = (total - absent_rate).max(0.0);
         let scale = if sum > available { available / sum } else { 1.0 };
         let mut unleased = (total - self.total_lent()).max(0.0);
-        let renew = |&(holder, wish): &(Number, f32)| {
+        let renew = |&(holder, wish): &(MemberIndex, f32)| {
             let max_rate = self.max_rate(holder);
             let all = self.leases.entry(holder).or_default();
             let newest = all.last().map_or(0.0, |l| l.rate);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -21,10 +21,10 @@
 use std::time::Duration;
 
 use ledger::Ledger;
-use message::{Down, Up};
+use message::{Lease, Report};
 
 /// A marshal, by its index in the configuration.
-pub type Number = u16;
+pub type MemberIndex = u16;
 
 /// Interval between the ticks of every marshal.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
@@ -51,13 +51,13 @@
 #[derive(Clone, Debug)]
 pub struct Place {
     /// This marshal.
-    pub me: Number,
+    pub me: MemberIndex,
     /// Grows from start to start.
     pub life: u32,
     /// The group's identity, which determines the order of its marshals.
     pub group: u64,
     /// All configured marshals of the group, the dead included.
-    pub marshals: Vec<Number>,
+    pub marshals: Vec<MemberIndex>,
     /// Maximum number of marshals that report directly to one; [`FAN_OUT`] except in tests of deep trees.
     pub fan_out: usize,
     /// Number of resources that are leased.
@@ -80,7 +80,7 @@
 
 /// The marshal that we report to.
 struct Parent {
-    number: Number,
+    number: MemberIndex,
     /// Its latest time stamp, and its life.
     latest_stamp: u64,
     life: u32,
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TickOutcome {
     /// The marshal that we report to; `None` if we are the leader as far as we know.
-    pub parent: Option<Number>,
+    pub parent: Option<MemberIndex>,
     /// Whether we became the leader at this tick.
     pub became_leader: bool,
 }
@@ -113,7 +113,7 @@
 /// the tree.
 pub struct Tree<U, D> {
     place: Place,
-    order: Vec<Number>,
+    order: Vec<MemberIndex>,
     started: Duration,
     version: u32,
     /// Number of tree levels below the leader.
@@ -121,10 +121,10 @@
     parent: Option<Parent>,
     /// The marshal to which our vote and those we passed on are given, which may be ourselves, and until
     /// when.
-    vote_given: (Number, Duration),
+    vote_given: (MemberIndex, Duration),
     /// Marshals that are skipped, and until when.
-    skipped: BTreeMap<Number, Duration>,
-    children: BTreeMap<Number, Child<U>>,
+    skipped: BTreeMap<MemberIndex, Duration>,
+    children: BTreeMap<MemberIndex, Child<U>>,
     held: HeldLease<D>,
     /// The version of `held` that our whole subtree keeps to, with the life of the lender.
     confirmed: (u32, u32),
@@ -165,7 +165,7 @@
             depth: 0,
             parent: None,
             // An earlier life may have given our vote away.
-            vote_given: (Number::MAX, now + STARTUP_HOLD),
+            vote_given: (MemberIndex::MAX, now + STARTUP_HOLD),
             skipped: BTreeMap::new(),
             children: BTreeMap::new(),
             held: HeldLease::default(),
@@ -187,12 +187,12 @@
     }
 
     /// The marshal that we report to; `None` if we are the leader as far as we know.
-    pub fn parent_number(&self) -> Option<Number> {
+    pub fn parent_number(&self) -> Option<MemberIndex> {
         self.parent.as_ref().map(|p| p.number)
     }
 
     /// All the group's marshals in their order.
-    pub fn order(&self) -> &[Number] {
+    pub fn order(&self) -> &[MemberIndex] {
         &self.order
     }
 
@@ -216,18 +216,18 @@
     }
 
     /// Skips a marshal that did not answer for a while.
-    pub fn skip(&mut self, now: Duration, number: Number) {
+    pub fn skip(&mut self, now: Duration, number: MemberIndex) {
         self.skipped.insert(number, now + SILENCE_LIMITS[1]);
     }
 
     /// Whether the marshal is being skipped.
-    pub fn is_skipped(&self, number: Number) -> bool {
+    pub fn is_skipped(&self, number: MemberIndex) -> bool {
         self.skipped.contains_key(&number)
     }
 
     /// Advances the state; to be called first at every [`TICK_INTERVAL`]. `present`: whether membership sees
     /// a marshal as up.
-    pub fn tick(&mut self, now: Duration, present: &dyn Fn(Number) -> bool) -> TickOutcome {
+    pub fn tick(&mut self, now: Duration, present: &dyn Fn(MemberIndex) -> bool) -> TickOutcome {
         self.version += 1;
         self.skipped.retain(|_, until| now < *until);
         self.children.retain(|_, c| now < c.seen_at + GRANT_TERM || now < c.votes_until);
@@ -236,8 +236,8 @@
             self.parent.as_ref().filter(|p| timed_out(now, p.since, p.heard_at)).map(|p| p.number);
         silent_parent.into_iter().for_each(|number| self.skip(now, number));
         let me = self.place.me;
-        let eligible = |n: &&Number| **n == me || (present(**n) && !self.skipped.contains_key(n));
-        let chain: Vec<Number> = self.order.iter().filter(eligible).copied().collect();
+        let eligible = |n: &&MemberIndex| **n == me || (present(**n) && !self.skipped.contains_key(n));
+        let chain: Vec<MemberIndex> = self.order.iter().filter(eligible).copied().collect();
         let own_index = chain.iter().position(|n| *n == me).unwrap_or(0);
         let fan_out = self.place.fan_out.max(1);
         let parent_position = |i: usize| (i > 0).then(|| (i - 1) / fan_out);
@@ -250,7 +250,7 @@
         TickOutcome { parent: to, became_leader: changed && to.is_none() }
     }
 
-    fn set_parent(&mut self, now: Duration, to: Option<Number>) {
+    fn set_parent(&mut self, now: Duration, to: Option<MemberIndex>) {
         // Our lease came from another lender. Our subtree may use its leases until they expire; the ledgers
         // still count them.
         (self.held, self.own.1) = (HeldLease { body: self.held.body.clone(), ..HeldLease::default() }, now);
@@ -280,7 +280,7 @@
     }
 
     /// Our report to our parent, with our votes; `None` if we are the leader.
-    pub fn report(&mut self, now: Duration, body: U) -> Option<(Number, Up<U>)> {
+    pub fn report(&mut self, now: Duration, body: U) -> Option<(MemberIndex, Report<U>)> {
         let voices = self.votes(now);
         let parent = self.parent.as_ref()?;
         let (to, echo, of) = (parent.number, parent.latest_stamp, parent.life);
@@ -295,7 +295,7 @@
         }
         let holds = if self.confirmed.0 == of { self.confirmed.1 } else { 0 };
         let (life, stamp, promise) = (self.life(), ms(now), ms(promise) as u32);
-        Some((to, Up { life, stamp, echo, of, promise, voices, holds, body }))
+        Some((to, Report { life, stamp, echo, of, promise, voices, holds, body }))
     }
 
     /// Whether all that we leased out of a resource, our own use included, is within what we hold.
@@ -325,13 +325,13 @@
     /// Leases out what we hold, to ourselves and to our children, in proportion to their weights.
     pub fn lease_out(
         &mut self, now: Duration, own: f32, weight: impl Fn(&U) -> f32,
-    ) -> Vec<(Number, Down<D>)> {
+    ) -> Vec<(MemberIndex, Lease<D>)> {
         let me = self.place.me;
         let starting = now < self.started + LEASE_TERM;
         let expired = now >= self.held.until || starting;
         let until = self.held.until.min(now + LEASE_TERM);
         let recent = |c: &Child<U>| now < c.seen_at + REPORT_LIFETIME;
-        let mut holders: Vec<(Number, f32)> =
+        let mut holders: Vec<(MemberIndex, f32)> =
             self.children.iter().filter(|(_, c)| recent(c)).map(|(n, c)| (*n, weight(&c.body))).collect();
         holders.push((me, own));
         let sum: f32 = holders.iter().map(|h| h.1).sum::<f32>().max(1e-6);
@@ -341,7 +341,8 @@
             if total <= 0.0 && self.ledgers[resource].is_empty() {
                 continue;
             }
-            let wishes: Vec<(Number, f32)> = holders.iter().map(|(n, d)| (*n, total * d / sum)).collect();
+            let wishes: Vec<(MemberIndex, f32)> =
+                holders.iter().map(|(n, d)| (*n, total * d / sum)).collect();
             let rates = self.ledgers[resource].lend(now, self.version, &wishes, total, until);
             leases.iter_mut().zip(rates).for_each(|(lease, rate)| lease[resource] = rate);
         }
@@ -356,7 +357,7 @@
                 // ends at the child before it ends in our ledger.
                 let (version, valid) = (self.version, ms(until.saturating_sub(now)) as u32);
                 let body = self.held.body.clone();
-                sends.push((holder, Down { life, stamp, echo, of, version, valid, rates, body }));
+                sends.push((holder, Lease { life, stamp, echo, of, version, valid, rates, body }));
             }
         }
         sends
@@ -365,8 +366,8 @@
     // ---- received messages ----
 
     /// Handles a report from a child.
-    pub fn receive_report(&mut self, now: Duration, from: Number, up: Up<U>) {
-        let Up { life, stamp, echo, of, promise, voices, holds, body } = up;
+    pub fn receive_report(&mut self, now: Duration, from: MemberIndex, up: Report<U>) {
+        let Report { life, stamp, echo, of, promise, voices, holds, body } = up;
         let newer = self.children.get(&from).is_none_or(|c| c.life != life || c.stamp < stamp);
         if !self.order.contains(&from) || !newer || from == self.place.me {
             return;
@@ -380,10 +381,10 @@
     }
 
     /// Handles a message from our parent.
-    pub fn receive_lease(&mut self, now: Duration, from: Number, down: Down<D>) {
+    pub fn receive_lease(&mut self, now: Duration, from: MemberIndex, down: Lease<D>) {
         let (resources, own_life, lender) = (self.place.resources, self.place.life, self.held.of);
         let Some(parent) = self.parent.as_mut().filter(|p| p.number == from) else { return };
-        let Down { life, stamp, echo, of, version, valid, rates, body } = down;
+        let Lease { life, stamp, echo, of, version, valid, rates, body } = down;
         if of != own_life || rates.len() != resources || ms(now) < echo {
             return;
         }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -5,7 +5,7 @@
 
 /// A report to the parent in the tree, on behalf of the sender and its subtree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Up<U> {
+pub struct Report<U> {
     /// The sender's life.
     pub life: u32,
     /// The sender's time stamp.
@@ -27,7 +27,7 @@
 
 /// The answer to a report: what the child and its subtree may use of each resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Down<D> {
+pub struct Lease<D> {
     /// The sender's life.
     pub life: u32,
     /// The sender's time stamp.
--- a/crates/marshal/src/directory/subset.rs
+++ b/crates/marshal/src/directory/subset.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ivydrift_policy::port::*;
-use ivydrift_subset::{choose_again, seen, Fleet, Memory, Node, Size};
+use ivydrift_subset::{choose_with_memory, held_fractions, ChoiceCache, Fleet, Node, Size};
 use ivydrift_terms::Config;
 
 /// The nodes of a marshal that has been dead for this long are taken over by others. A restart takes less
@@ -21,7 +21,7 @@
 pub struct Subset {
     fleet: Fleet,
     size: Size,
-    memory: Memory,
+    memory: ChoiceCache,
     /// Age from which a node counts as warm and needs no budget; `budget_window` is the budget's window.
     warm_age: Duration,
     budget_window: Duration,
@@ -40,7 +40,7 @@
         Some(Subset {
             fleet,
             size: Size::new(subset.min_nodes),
-            memory: Memory::default(),
+            memory: ChoiceCache::default(),
             warm_age: rollout.rules.warm_up + rollout.rules.slow_start_window,
             budget_window: rollout.rules.slow_start_window,
             delayed: HashMap::new(),
@@ -68,8 +68,8 @@
             let rate = taken.saturating_sub(self.rpcs_seen) as f64 / span;
             self.rate += (rate - self.rate) * (span / RATE_TIME_CONSTANT_S).min(1.0);
             (self.last_refresh, self.rpcs_seen) = (Some(now), taken);
-            changed |= self.size.look(now, self.rate);
-            changed |= self.fleet.bury(dead());
+            changed |= self.size.update(now, self.rate);
+            changed |= self.fleet.set_dead(dead());
         }
         changed
     }
@@ -87,11 +87,11 @@
         let node = |(_, e): &(SocketAddr, NodeEntry)| Node {
             name: e.address_hash,
             zone: e.zone,
-            new: e.build == newest,
+            on_trial: e.build == newest,
             ready: e.readiness == Readiness::Ready,
         };
         let nodes: Vec<Node> = listed.iter().map(node).collect();
-        let choice = choose_again(&self.fleet, &nodes, self.size.want(), &mut self.memory);
+        let choice = choose_with_memory(&self.fleet, &nodes, self.size.target(), &mut self.memory);
         let mut in_subset = choice.held;
         let mut delayed = HashMap::new();
         for ((addr, entry), selected) in listed.iter().zip(&mut in_subset).filter(|(_, selected)| **selected)
@@ -106,10 +106,10 @@
                 *selected = false;
             }
         }
-        let seen = if delayed.is_empty() { choice.seen } else { seen(&nodes, &in_subset) };
+        let seen = if delayed.is_empty() { choice.held_fraction } else { held_fractions(&nodes, &in_subset) };
         self.delayed = delayed;
-        let coverage = ListCoverage { newest, listed_part: seen, marshal_part: choice.holders };
-        let sees_all = (seen, choice.holders) == ([1.0; 2], [1.0; 2]);
+        let coverage = ListCoverage { newest, listed_part: seen, marshal_part: choice.holder_fraction };
+        let sees_all = (seen, choice.holder_fraction) == ([1.0; 2], [1.0; 2]);
         (in_subset, if sees_all { ListCoverage::default() } else { coverage })
     }
 }
--- a/crates/marshal/src/peers.rs
+++ b/crates/marshal/src/peers.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use ivydrift_commons::level::{Level, Speech, SPOKEN};
-use ivydrift_commons::sections::{Sections, PROGRAM, SPEECH};
-use ivydrift_members::{Input, Members, Out, Pace, State};
+use ivydrift_commons::level::{Level, LevelRange, SUPPORTED};
+use ivydrift_commons::sections::{Sections, LEVELS, PROGRAM};
+use ivydrift_members::{Action, Input, Members, State, Timing};
 use ivydrift_terms::Config;
 use ivydrift_wire::peer::{self, Kind, PeerStatus, Row, View, ViewExtension};
 
@@ -42,10 +42,10 @@
             return None;
         }
         let (number, count) = (config.rollout.marshal as u16, config.addresses.peers.len() as u16);
-        let members = Members::new(number, count, life, config.rollout.seed ^ life, now, Pace::default());
+        let members = Members::new(number, count, life, config.rollout.seed ^ life, now, Timing::default());
         let mut own_sections = Sections::default();
         // Cannot fail: both are far below the size limits of sections and records.
-        let _ = own_sections.put(SPEECH, SECTION_VALIDITY, &SPOKEN.write(), 0);
+        let _ = own_sections.put(LEVELS, SECTION_VALIDITY, &SUPPORTED.encode(), 0);
         let _ = own_sections.put(
             PROGRAM,
             SECTION_VALIDITY,
@@ -72,7 +72,7 @@
     }
 
     pub fn next_tick(&self) -> Duration {
-        self.members.due()
+        self.members.next_tick_at()
     }
 
     /// `about`: this marshal's record without its RPC rate; `rpcs_accepted`: RPCs accepted since the start.
@@ -87,24 +87,26 @@
             // First the fields of the first program version, then the sections; together far below the record
             // size limit.
             let _ = self.members.publish(
-                [peer::serialize(&PeerStatus { rate, ..about() }), self.own_sections.write()].concat(),
+                [peer::serialize(&PeerStatus { rate, ..about() }), self.own_sections.encode()].concat(),
             );
             commands.extend(self.update_level(now));
         }
-        let outs = if now >= self.members.due() { self.members.handle(now, Input::Tick) } else { vec![] };
-        commands.extend(self.commands(outs));
+        let actions =
+            if now >= self.members.next_tick_at() { self.members.handle(now, Input::Tick) } else { vec![] };
+        commands.extend(self.commands(actions));
         commands
     }
 
     /// Updates the protocol level that all present marshals have in common, from their records.
     fn update_level(&mut self, now: Duration) -> Option<Command> {
-        let unknown = Speech { least: 0, most: self.level.get() };
-        let others = self.members.view(now).filter(|v| v.number != self.number && v.state.present());
+        let unknown = LevelRange { least: 0, most: self.level.get() };
+        let others = self.members.members(now).filter(|v| v.number != self.number && v.state.is_present());
         // A marshal whose record has not arrived yet neither raises nor lowers the level.
-        let speech = |v: ivydrift_members::View| v.record.map_or(unknown, |r| protocol_levels(r.0, r.2));
-        let (level, was_apart) = (self.level.get(), self.level.apart());
-        let changed = self.level.step(now, others.map(speech));
-        if self.level.apart() && !was_apart {
+        let level_range =
+            |v: ivydrift_members::MemberView| v.record.map_or(unknown, |r| protocol_levels(r.0, r.2));
+        let (level, was_apart) = (self.level.get(), self.level.is_incompatible());
+        let changed = self.level.step(now, others.map(level_range));
+        if self.level.is_incompatible() && !was_apart {
             let line = "a marshal is present that has no protocol level in common with this one";
             return Some(Command::Log(line.to_owned()));
         }
@@ -112,33 +114,33 @@
     }
 
     pub fn receive(&mut self, now: Duration, from: u16, bytes: &[u8]) -> Vec<Command> {
-        let outs = self.members.handle(now, Input::Heard { from, bytes });
-        self.commands(outs)
+        let actions = self.members.handle(now, Input::Received { from, bytes });
+        self.commands(actions)
     }
 
     pub fn leave(&mut self, now: Duration) -> Vec<Command> {
-        let outs = self.members.leave(now);
-        self.commands(outs)
+        let actions = self.members.leave(now);
+        self.commands(actions)
     }
 
-    fn commands(&self, outs: Vec<Out>) -> Vec<Command> {
-        let command = |out| match out {
-            Out::Send { to, bytes } => {
+    fn commands(&self, actions: Vec<Action>) -> Vec<Command> {
+        let command = |action| match action {
+            Action::Send { to, bytes } => {
                 let datagram = peer::write(Kind::Members, self.number, &bytes)?;
                 Some(Command::Tell { to: to.into(), datagram })
             }
-            Out::Changed { number, from, to, life } => {
+            Action::StateChanged { number, from, to, life } => {
                 let (from, to) = (from.word(), to.word());
                 Some(Command::Log(format!("marshal {number}: {from} to {to}, life {life}")))
             }
         };
-        outs.into_iter().filter_map(command).collect()
+        actions.into_iter().filter_map(command).collect()
     }
 
     /// Numbers of the marshals that have been dead, or have left, for at least `after`.
     pub fn dead(&self, now: Duration, after: Duration) -> Vec<usize> {
-        let gone = |v: &ivydrift_members::View| matches!(v.state, State::Dead | State::Left);
-        let long = self.members.view(now).filter(|v| gone(v) && v.since >= after);
+        let gone = |v: &ivydrift_members::MemberView| matches!(v.state, State::Dead | State::Left);
+        let long = self.members.members(now).filter(|v| gone(v) && v.in_state_for >= after);
         long.map(|v| v.number.into()).collect()
     }
 
@@ -146,29 +148,29 @@
     /// rows.
     pub fn view(&self, now: Duration, first: u16) -> (View, ViewExtension) {
         let ms = |span: Duration| span.as_millis() as u64;
-        let row = |v: ivydrift_members::View| Row {
+        let row = |v: ivydrift_members::MemberView| Row {
             number: v.number,
             state: v.state.word().to_owned(),
             life: v.life,
-            since: ms(v.since),
-            heard: v.heard.map(ms),
+            since: ms(v.in_state_for),
+            heard: v.heard_ago.map(ms),
             about: v.record.and_then(|(bytes, _, age)| Some((peer::deserialize(bytes)?, ms(age)))),
         };
         let age = now.saturating_sub(self.begun).as_secs_f64().max(0.001);
-        let shown = || self.members.view(now).skip(first.into()).take(peer::ROWS_PER_PAGE);
-        let sections_of = |v: ivydrift_members::View| {
+        let shown = || self.members.members(now).skip(first.into()).take(peer::ROWS_PER_PAGE);
+        let sections_of = |v: ivydrift_members::MemberView| {
             let (bytes, _, age) = v.record?;
             let sections = sections(bytes)?;
             let program = sections.get(PROGRAM, age).map(|s| String::from_utf8_lossy(&s.bytes).into_owned());
             Some((protocol_levels(bytes, age).most, program.unwrap_or_default()))
         };
         let rows = shown().map(sections_of).collect();
-        let more = ViewExtension { level: self.level.get(), apart: self.level.apart(), rows };
+        let more = ViewExtension { level: self.level.get(), apart: self.level.is_incompatible(), rows };
         let view = View {
             number: self.number,
             of: self.count,
             first,
-            doubt: self.members.health() as u8,
+            doubt: self.members.health_multiplier() as u8,
             sent: (self.members.traffic().sent_bytes as f64 / age) as f32,
             rows: shown().map(row).collect(),
         };
@@ -178,12 +180,12 @@
 
 /// The sections that follow the fields of a record; `None` from a program version that writes none.
 fn sections(record: &[u8]) -> Option<Sections> {
-    Sections::read(peer::deserialize_prefix::<PeerStatus>(record)?.1)
+    Sections::decode(peer::deserialize_prefix::<PeerStatus>(record)?.1)
 }
 
-fn protocol_levels(record: &[u8], age: Duration) -> Speech {
+fn protocol_levels(record: &[u8], age: Duration) -> LevelRange {
     let sections = sections(record);
-    Speech::read(sections.as_ref().and_then(|s| s.get(SPEECH, age)).map(|s| &s.bytes[..]))
+    LevelRange::decode(sections.as_ref().and_then(|s| s.get(LEVELS, age)).map(|s| &s.bytes[..]))
 }
 
 #[cfg(test)]
@@ -215,7 +217,7 @@
             (config.rollout.limits.peers, config.rollout.marshal) = (true, 0);
             config.addresses.peers = (0..2).map(|n| ([127, 0, 0, 1], 7100 + n).into()).collect();
             let new = Peers::new(&config, "0.1.0-0123abcd", 5, ms(0)).unwrap();
-            let old = Members::new(1, 2, 7, 3, ms(0), Pace::default());
+            let old = Members::new(1, 2, 7, 3, ms(0), Timing::default());
             MixedVersions { new, old, now: ms(0), old_running: true }
         }
 
@@ -224,17 +226,17 @@
             while self.now < end {
                 self.now += ms(25);
                 let mut commands = self.new.tick(self.now, about, 0);
-                let mut outs = vec![];
+                let mut actions = vec![];
                 if self.old_running {
                     self.old.publish(peer::serialize(&about())).unwrap();
-                    outs = if self.now >= self.old.due() {
+                    actions = if self.now >= self.old.next_tick_at() {
                         self.old.handle(self.now, Input::Tick)
                     } else {
                         vec![]
                     };
                 }
                 for _ in 0..4 {
-                    let theirs = std::mem::take(&mut outs);
+                    let theirs = std::mem::take(&mut actions);
                     for command in std::mem::take(&mut commands) {
                         let Command::Tell { datagram, .. } = command else { continue };
                         let (kind, from, bytes) = peer::read(&datagram).unwrap();
@@ -244,11 +246,11 @@
                             "a datagram that the earlier version does not know"
                         );
                         if self.old_running {
-                            outs.extend(self.old.handle(self.now, Input::Heard { from: 0, bytes }));
+                            actions.extend(self.old.handle(self.now, Input::Received { from: 0, bytes }));
                         }
                     }
                     for out in theirs {
-                        if let Out::Send { bytes, .. } = out {
+                        if let Action::Send { bytes, .. } = out {
                             commands.extend(self.new.receive(self.now, 1, &bytes));
                         }
                     }
@@ -261,7 +263,7 @@
     fn the_earlier_version_reads_our_fields_relays_our_sections_and_holds_the_level_down() {
         let mut versions = MixedVersions::new();
         versions.run(ms(60_000));
-        let seen = versions.old.view(versions.now).find(|v| v.number == 0).unwrap();
+        let seen = versions.old.members(versions.now).find(|v| v.number == 0).unwrap();
         let (record, ..) = seen.record.unwrap();
         let ours = PeerStatus { rate: 0.0, ..about() };
         assert_eq!(
@@ -287,7 +289,7 @@
         versions.run(ms(25_000));
         assert_eq!(versions.new.view(versions.now, 0).1.level, 1);
         (versions.old_running, versions.old) =
-            (true, Members::new(1, 2, 8, 4, versions.now, Pace::default()));
+            (true, Members::new(1, 2, 8, 4, versions.now, Timing::default()));
         versions.run(ms(10_000));
         assert_eq!(versions.new.view(versions.now, 0).1.level, 0);
     }
--- a/crates/measure/src/scale/tree.rs
+++ b/crates/measure/src/scale/tree.rs
@@ -16,15 +16,15 @@
 
 const SIZES: [usize; 3] = [300, 1000, 3700];
 /// Size of the state in bytes, as large as a start file.
-pub const STATE_BYTES: usize = 16_384;
+pub const MAX_STATE_BYTES: usize = 16_384;
 /// Shares of the datagrams that are lost.
 const LOSSES: [f64; 2] = [0.0, 0.05];
 const TIME_LIMIT: Duration = Duration::from_secs(120);
 
-/// A random state of [`STATE_BYTES`] bytes.
+/// A random state of [`MAX_STATE_BYTES`] bytes.
 pub fn random_state(seed: u64) -> Vec<u8> {
     let mut rng = StdRng::seed_from_u64(seed);
-    (0..STATE_BYTES).map(|_| rng.random()).collect()
+    (0..MAX_STATE_BYTES).map(|_| rng.random()).collect()
 }
 
 fn run_once(count: u16, loss: f64, seed: u64) -> serde_json::Value {
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -20,7 +20,7 @@
 
 use std::time::Duration;
 
-use message::{Record, What, Word, RECORD_BYTES};
+use message::{Message, Record, Update, RECORD_BYTES};
 pub use message::{State, DATAGRAM_BYTES};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -28,11 +28,11 @@
 use table::Table;
 
 /// A member, by its index in the configuration.
-pub type Number = u16;
+pub type MemberIndex = u16;
 
 /// Protocol timing. The load of a member follows from these values and not from the number of members.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Timing {
     /// Interval between probes; one member is probed in each.
     pub probe_interval: Duration,
     /// Time-out after which an unanswered probe is repeated through other members.
@@ -48,9 +48,9 @@
     pub max_versions_per_second: f64,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
-        Pace {
+        Timing {
             probe_interval: Duration::from_millis(500),
             ack_timeout: Duration::from_millis(200),
             indirect_probes: 3,
@@ -62,7 +62,7 @@
 }
 
 /// Number of members in one digest, so that it fits a datagram.
-const DIGEST_RANGE: Number = 40;
+const DIGEST_RANGE: MemberIndex = 40;
 /// Each update is sent this many times the binary logarithm of the number of members.
 const RETRANSMIT_FACTOR: f64 = 3.0;
 /// Upper limit of the local health multiplier.
@@ -78,26 +78,26 @@
 /// An event for [`Members::handle`].
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// Time has passed; see [`Members::due`].
+    /// Time has passed; see [`Members::next_tick_at`].
     Tick,
     /// A datagram from another member.
-    Heard { from: Number, bytes: &'a [u8] },
+    Received { from: MemberIndex, bytes: &'a [u8] },
 }
 
 /// An action that [`Members::handle`] requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum Action {
     /// A datagram to send.
-    Send { to: Number, bytes: Vec<u8> },
+    Send { to: MemberIndex, bytes: Vec<u8> },
     /// A member changed its state or started a new life.
-    Changed { number: Number, from: State, to: State, life: u64 },
+    StateChanged { number: MemberIndex, from: State, to: State, life: u64 },
 }
 
 /// A member as seen by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View<'a> {
+pub struct MemberView<'a> {
     /// The member.
-    pub number: Number,
+    pub number: MemberIndex,
     /// Its state.
     pub state: State,
     /// Start epoch of the member.
@@ -105,16 +105,16 @@
     /// Incarnation number within the life.
     pub turn: u32,
     /// Time since it entered this state.
-    pub since: Duration,
+    pub in_state_for: Duration,
     /// Time since it was last heard directly.
-    pub heard: Option<Duration>,
+    pub heard_ago: Option<Duration>,
     /// Its record's bytes and version, and the time since that version arrived.
     pub record: Option<(&'a [u8], u32, Duration)>,
 }
 
 /// A probe in progress.
 struct Probe {
-    target: Number,
+    target: MemberIndex,
     seq: u32,
     started: Duration,
     /// Number of members asked for an indirect probe, once they were asked.
@@ -136,9 +136,9 @@
 
 /// The membership state of one member.
 pub struct Members {
-    me: Number,
-    count: Number,
-    pace: Pace,
+    me: MemberIndex,
+    count: MemberIndex,
+    timing: Timing,
     rng: Pcg64,
     table: Table,
     /// Lifeguard's local health multiplier: 0 is healthy, higher values mean that our own failures are
@@ -146,13 +146,13 @@
     health: u32,
     probe: Option<Probe>,
     /// Members still to be probed in this round, the next one last.
-    round: Vec<Number>,
+    round: Vec<MemberIndex>,
     period_count: u32,
     next_period: Duration,
     next_sync: Duration,
     seq: u32,
     relays: Relays,
-    suspects: Vec<Number>,
+    suspects: Vec<MemberIndex>,
     /// Our next record to publish.
     next_record: Option<Vec<u8>>,
     /// When the last record was published.
@@ -161,22 +161,24 @@
     last_time: Duration,
     leaving: bool,
     traffic: Traffic,
-    out: Vec<Out>,
+    out: Vec<Action>,
 }
 
 impl Members {
     /// Creates one of `count` members. `life` should grow from start to start, for example the start time; a
     /// clock that was set back does no harm.
-    pub fn new(me: Number, count: Number, life: u64, seed: u64, now: Duration, pace: Pace) -> Self {
+    pub fn new(
+        me: MemberIndex, count: MemberIndex, life: u64, seed: u64, now: Duration, timing: Timing,
+    ) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut table = Table::new(count.max(me.saturating_add(1)));
         table.set_state(now, me, (life, 0, State::Alive), me);
         // A random phase keeps members that start together from sending at the same times.
-        let phase = pace.probe_interval.mul_f64(rng.random());
+        let phase = timing.probe_interval.mul_f64(rng.random());
         Members {
             me,
             count: count.max(me.saturating_add(1)),
-            pace,
+            timing,
             rng,
             table,
             health: 0,
@@ -184,7 +186,7 @@
             round: Vec::new(),
             period_count: 0,
             next_period: now + phase,
-            next_sync: now + phase + pace.probe_interval,
+            next_sync: now + phase + timing.probe_interval,
             seq: 0,
             relays: Relays::default(),
             suspects: Vec::new(),
@@ -198,7 +200,7 @@
     }
 
     /// Changes the number of members.
-    pub fn resize(&mut self, count: Number) {
+    pub fn resize(&mut self, count: MemberIndex) {
         self.count = count.max(self.me.saturating_add(1));
         self.table.resize(self.count);
         let count = self.count;
@@ -219,24 +221,24 @@
     }
 
     /// Leaves the fleet: tells a few members at once, which pass it on.
-    pub fn leave(&mut self, now: Duration) -> Vec<Out> {
+    pub fn leave(&mut self, now: Duration) -> Vec<Action> {
         self.leaving = true;
         if let Some((life, turn, _)) = self.table.get(self.me).map(|entry| entry.rank()) {
             self.table.set_state(now, self.me, (life, turn, State::Left), self.me);
         }
-        for to in self.random_alive(2 * self.pace.indirect_probes, self.me) {
-            self.send(to, &What::Words { want: vec![] }, None);
+        for to in self.random_alive(2 * self.timing.indirect_probes, self.me) {
+            self.send(to, &Message::Words { want: vec![] }, None);
         }
         std::mem::take(&mut self.out)
     }
 
     /// Time of the next [`Input::Tick`].
-    pub fn due(&self) -> Duration {
+    pub fn next_tick_at(&self) -> Duration {
         if self.leaving {
             return Duration::MAX;
         }
         let indirect = self.probe.as_ref().filter(|p| p.helpers_asked.is_none());
-        let indirect = indirect.map(|p| p.started + self.pace.ack_timeout * (1 + self.health));
+        let indirect = indirect.map(|p| p.started + self.timing.ack_timeout * (1 + self.health));
         let suspects = self.suspects.iter().filter_map(|n| self.suspicion_end(*n)).min();
         let times = [indirect, suspects, self.relays.due(), Some(self.next_sync)];
         times.into_iter().flatten().fold(self.next_period, Duration::min)
@@ -248,7 +250,7 @@
     }
 
     /// The local health multiplier, 0 (healthy) to 8.
-    pub fn health(&self) -> u32 {
+    pub fn health_multiplier(&self) -> u32 {
         self.health
     }
 
@@ -258,14 +260,14 @@
     }
 
     /// All members, this one included.
-    pub fn view(&self, now: Duration) -> impl Iterator<Item = View<'_>> {
-        self.table.numbered().map(move |(number, entry)| View {
+    pub fn members(&self, now: Duration) -> impl Iterator<Item = MemberView<'_>> {
+        self.table.numbered().map(move |(number, entry)| MemberView {
             number,
             state: entry.state,
             life: entry.life,
             turn: entry.turn,
-            since: now.saturating_sub(entry.since),
-            heard: if number == self.me { Some(Duration::ZERO) } else { entry.heard }
+            in_state_for: now.saturating_sub(entry.since),
+            heard_ago: if number == self.me { Some(Duration::ZERO) } else { entry.heard }
                 .map(|at| now.saturating_sub(at)),
             record: entry
                 .record
@@ -275,14 +277,14 @@
     }
 
     /// Handles one event and returns the actions it causes; none after [`Members::leave`].
-    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Out> {
+    pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Action> {
         if self.leaving {
             return Vec::new();
         }
         self.detect_pause(now);
         match input {
             Input::Tick => self.tick(now),
-            Input::Heard { from, bytes } => self.receive(now, from, bytes),
+            Input::Received { from, bytes } => self.receive(now, from, bytes),
         }
         std::mem::take(&mut self.out)
     }
@@ -291,15 +293,15 @@
     /// nothing about other members. Without this check a resumed member would suspect all others. The cost:
     /// if only this process is woken late while others run, it suspects failed members later by as much.
     fn detect_pause(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.due().max(self.last_time));
+        let late = now.saturating_sub(self.next_tick_at().max(self.last_time));
         self.last_time = now;
-        if late < self.pace.probe_interval * PAUSE_PERIODS {
+        if late < self.timing.probe_interval * PAUSE_PERIODS {
             return;
         }
         self.probe = None;
         self.relays = Relays::default();
         self.health = (self.health + 1).min(MAX_HEALTH_MULTIPLIER);
-        self.next_period = now + self.pace.ack_timeout;
+        self.next_period = now + self.timing.ack_timeout;
         for number in self.suspects.clone() {
             let suspicion = self.table.get_mut(number).and_then(|entry| entry.suspicion.as_mut());
             suspicion.into_iter().for_each(|suspicion| suspicion.started += late);
@@ -309,11 +311,11 @@
     fn tick(&mut self, now: Duration) {
         self.publish_next(now);
         let late = self.probe.as_ref().filter(|p| p.helpers_asked.is_none());
-        if late.is_some_and(|p| now >= p.started + self.pace.ack_timeout * (1 + self.health)) {
+        if late.is_some_and(|p| now >= p.started + self.timing.ack_timeout * (1 + self.health)) {
             self.probe_indirectly();
         }
         for (requester, seq) in self.relays.take_due(now) {
-            self.send(requester, &What::Nack { seq }, None);
+            self.send(requester, &Message::Nack { seq }, None);
         }
         for number in self.suspects.clone() {
             if self.suspicion_end(number).is_none_or(|end| now >= end) {
@@ -326,11 +328,11 @@
         }
         if now >= self.next_period {
             self.finish_period(now);
-            self.next_period = now + self.pace.probe_interval * (1 + self.health);
+            self.next_period = now + self.timing.probe_interval * (1 + self.health);
             self.start_period(now);
         }
         if now >= self.next_sync {
-            self.next_sync = now + self.pace.sync_interval;
+            self.next_sync = now + self.timing.sync_interval;
             for to in self.random_alive(1, self.me) {
                 self.send_digest(to);
             }
@@ -340,7 +342,7 @@
     /// Publishes our next record once the rate limit allows.
     fn publish_next(&mut self, now: Duration) {
         let interval =
-            Duration::from_secs_f64(self.table.present() as f64 / self.pace.max_versions_per_second);
+            Duration::from_secs_f64(self.table.present() as f64 / self.timing.max_versions_per_second);
         if self.published_at.is_some_and(|at| now < at + interval.max(MIN_RECORD_INTERVAL)) {
             return;
         }
@@ -354,7 +356,7 @@
     }
 
     /// Up to `count` random alive members other than `excluded`.
-    fn random_alive(&mut self, count: usize, excluded: Number) -> Vec<Number> {
+    fn random_alive(&mut self, count: usize, excluded: MemberIndex) -> Vec<MemberIndex> {
         let mut found = Vec::new();
         // Random draws instead of a full listing keep the cost independent of the number of members.
         for _ in 0..20 * count {
@@ -372,22 +374,22 @@
 
     /// Sends a message with the update about ourselves first, then the one about `about` unless it is alive,
     /// then the queued updates.
-    fn send(&mut self, to: Number, message: &What, about: Option<Number>) {
+    fn send(&mut self, to: MemberIndex, message: &Message, about: Option<MemberIndex>) {
         let own = self.table.update(self.me, self.me);
         let target_update =
             about.and_then(|n| self.table.update(n, self.me)).filter(|w| w.state != State::Alive);
-        let leading: Vec<Word> = own.into_iter().chain(target_update).collect();
+        let leading: Vec<Update> = own.into_iter().chain(target_update).collect();
         let queued = self.table.pending(self.me, 24);
         let queued = queued.into_iter().filter(|w| leading.iter().all(|f| f.number != w.number));
-        let updates: Vec<Word> = leading.iter().cloned().chain(queued).collect();
+        let updates: Vec<Update> = leading.iter().cloned().chain(queued).collect();
         self.send_updates(to, message, updates);
     }
 
-    fn send_updates(&mut self, to: Number, message: &What, updates: Vec<Word>) {
-        let (bytes, count) = message::write(message, updates.iter());
+    fn send_updates(&mut self, to: MemberIndex, message: &Message, updates: Vec<Update>) {
+        let (bytes, count) = message::encode(message, updates.iter());
         self.table.mark_sent(updates[..count].iter().map(|w| w.number));
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
-        self.out.push(Out::Send { to, bytes });
+        self.out.push(Action::Send { to, bytes });
     }
 }
--- a/crates/members/src/probing.rs
+++ b/crates/members/src/probing.rs
@@ -4,9 +4,9 @@
 
 use rand::RngExt;
 
-use crate::message::{State, What};
+use crate::message::{Message, State};
 use crate::table::MAX_CONFIRMATIONS;
-use crate::{Members, Number, Probe, ABSENT_PROBE_PERIODS, MAX_HEALTH_MULTIPLIER, RETRANSMIT_FACTOR};
+use crate::{MemberIndex, Members, Probe, ABSENT_PROBE_PERIODS, MAX_HEALTH_MULTIPLIER, RETRANSMIT_FACTOR};
 
 impl Members {
     pub(crate) fn start_period(&mut self, now: Duration) {
@@ -17,16 +17,16 @@
             self.seq = self.seq.wrapping_add(1);
             let seq = self.seq;
             self.probe = Some(Probe { target, seq, started: now, helpers_asked: None, nacks: 0 });
-            self.send(target, &What::Ping { seq }, Some(target));
+            self.send(target, &Message::Ping { seq }, Some(target));
         }
         // Members not known to be present are probed occasionally, without consequence; in every period while
         // this member is alone.
         if self.period_count.is_multiple_of(ABSENT_PROBE_PERIODS) || self.table.present() < 2 {
             for _ in 0..10 {
                 let number = self.rng.random_range(0..self.count);
-                if self.table.get(number).is_some_and(|entry| !entry.state.present()) {
+                if self.table.get(number).is_some_and(|entry| !entry.state.is_present()) {
                     self.seq = self.seq.wrapping_add(1);
-                    self.send(number, &What::Ping { seq: self.seq }, Some(number));
+                    self.send(number, &Message::Ping { seq: self.seq }, Some(number));
                     break;
                 }
             }
@@ -34,14 +34,15 @@
     }
 
     /// The next target. Each round probes every present member once, in a new random order.
-    pub(crate) fn next_target(&mut self) -> Option<Number> {
+    pub(crate) fn next_target(&mut self) -> Option<MemberIndex> {
         for _ in 0..2 {
             while let Some(number) = self.round.pop() {
-                if self.table.get(number).is_some_and(|entry| entry.state.present()) {
+                if self.table.get(number).is_some_and(|entry| entry.state.is_present()) {
                     return Some(number);
                 }
             }
-            let present = self.table.numbered().filter(|(n, entry)| *n != self.me && entry.state.present());
+            let present =
+                self.table.numbered().filter(|(n, entry)| *n != self.me && entry.state.is_present());
             self.round = present.map(|p| p.0).collect();
             for i in (1..self.round.len()).rev() {
                 let j = self.rng.random_range(0..=i);
@@ -53,12 +54,12 @@
 
     pub(crate) fn probe_indirectly(&mut self) {
         let Some((target, seq)) = self.probe.as_ref().map(|p| (p.target, p.seq)) else { return };
-        let helpers = self.random_alive(self.pace.indirect_probes, target);
+        let helpers = self.random_alive(self.timing.indirect_probes, target);
         if let Some(probe) = &mut self.probe {
             probe.helpers_asked = Some(helpers.len());
         }
         for helper in helpers {
-            self.send(helper, &What::Ask { seq, target }, None);
+            self.send(helper, &Message::Ask { seq, target }, None);
         }
     }
 
@@ -80,10 +81,10 @@
         }
     }
 
-    pub(crate) fn suspicion_end(&self, number: Number) -> Option<Duration> {
+    pub(crate) fn suspicion_end(&self, number: MemberIndex) -> Option<Duration> {
         let suspicion = self.table.get(number)?.suspicion.as_ref()?;
         let members = self.table.present() as f64;
-        let [minimum, factor] = self.pace.suspicion_timeout;
+        let [minimum, factor] = self.timing.suspicion_timeout;
         let minimum = minimum * members.log10().max(1.0);
         // With few other members, no confirmation by them is required.
         let wanted_confirmations = MAX_CONFIRMATIONS.min(self.table.present().saturating_sub(3));
@@ -94,6 +95,6 @@
             ((confirmations + 1) as f64).ln() / ((wanted_confirmations + 1) as f64).ln()
         };
         let periods = minimum * (factor - (factor - 1.0) * progress);
-        Some(suspicion.started + self.pace.probe_interval.mul_f64(periods))
+        Some(suspicion.started + self.timing.probe_interval.mul_f64(periods))
     }
 }
--- a/crates/members/src/receive.rs
+++ b/crates/members/src/receive.rs
@@ -4,14 +4,14 @@
 
 use rand::RngExt;
 
-use crate::message::{self, DigestEntry, State, What, Word};
-use crate::{table, Members, Number, Out, DIGEST_RANGE, MAX_HEALTH_MULTIPLIER};
+use crate::message::{self, DigestEntry, Message, State, Update};
+use crate::{table, Action, MemberIndex, Members, DIGEST_RANGE, MAX_HEALTH_MULTIPLIER};
 
 impl Members {
-    pub(crate) fn receive(&mut self, now: Duration, from: Number, bytes: &[u8]) {
+    pub(crate) fn receive(&mut self, now: Duration, from: MemberIndex, bytes: &[u8]) {
         self.traffic.received += 1;
         self.traffic.received_bytes += bytes.len() as u64;
-        let read = message::read(bytes).filter(|_| from != self.me && from < self.count);
+        let read = message::decode(bytes).filter(|_| from != self.me && from < self.count);
         let Some((message, updates)) = read else {
             self.traffic.malformed += 1;
             return;
@@ -24,68 +24,68 @@
             self.apply_update(now, from, update);
         }
         // The answer revealed members that we did not know, so there may be more: synchronize again soon.
-        if matches!(message, What::Words { .. }) && self.table.present() > present_before {
-            self.next_sync = self.next_sync.min(now + self.pace.probe_interval / 2);
+        if matches!(message, Message::Words { .. }) && self.table.present() > present_before {
+            self.next_sync = self.next_sync.min(now + self.timing.probe_interval / 2);
         }
         match message {
-            What::Ping { seq } => self.send(from, &What::Ack { seq }, Some(from)),
-            What::Ack { seq } => self.handle_ack(now, from, seq),
-            What::Ask { seq, target } => {
+            Message::Ping { seq } => self.send(from, &Message::Ack { seq }, Some(from)),
+            Message::Ack { seq } => self.handle_ack(now, from, seq),
+            Message::Ask { seq, target } => {
                 if target != self.me && target < self.count {
                     self.seq = self.seq.wrapping_add(1);
-                    let (own_seq, wait) = (self.seq, self.pace.ack_timeout * (1 + self.health));
+                    let (own_seq, wait) = (self.seq, self.timing.ack_timeout * (1 + self.health));
                     if self.relays.register(
                         now,
                         (from, seq),
                         (target, own_seq),
                         wait,
-                        self.pace.probe_interval,
+                        self.timing.probe_interval,
                     ) {
-                        self.send(target, &What::Ping { seq: own_seq }, Some(target));
+                        self.send(target, &Message::Ping { seq: own_seq }, Some(target));
                     }
                 }
             }
-            What::Nack { seq } => {
+            Message::Nack { seq } => {
                 let probe = self.probe.as_mut().filter(|p| p.seq == seq);
                 probe.into_iter().for_each(|p| p.nacks += 1);
             }
-            What::Digest { start, end, rows } => self.answer_digest(from, start, end, &rows),
-            What::Words { want } => {
+            Message::Digest { start, end, rows } => self.answer_digest(from, start, end, &rows),
+            Message::Words { want } => {
                 if !want.is_empty() {
                     let updates = want.iter().filter_map(|n| self.table.update(*n, self.me)).collect();
-                    self.send_updates(from, &What::Words { want: vec![] }, updates);
+                    self.send_updates(from, &Message::Words { want: vec![] }, updates);
                 }
             }
         }
     }
 
     /// Handles an ack, either for our own probe or for one that we relay for another member.
-    pub(crate) fn handle_ack(&mut self, now: Duration, from: Number, seq: u32) {
+    pub(crate) fn handle_ack(&mut self, now: Duration, from: MemberIndex, seq: u32) {
         if self.probe.as_ref().is_some_and(|p| p.seq == seq) {
             // Only an ack within the period that applies at full health lowers the health multiplier.
-            let in_time = self.probe.as_ref().is_some_and(|p| now < p.started + self.pace.probe_interval);
+            let in_time = self.probe.as_ref().is_some_and(|p| now < p.started + self.timing.probe_interval);
             self.probe = None;
             self.health = self.health.saturating_sub(u32::from(in_time));
         } else if let Some((requester, seq)) = self.relays.take_requester(from, seq) {
-            self.send(requester, &What::Ack { seq }, None);
+            self.send(requester, &Message::Ack { seq }, None);
         }
     }
 
-    pub(crate) fn apply_update(&mut self, now: Duration, from: Number, update: &Word) {
+    pub(crate) fn apply_update(&mut self, now: Duration, from: MemberIndex, update: &Update) {
         if update.number == self.me {
             return self.refute(now, update);
         }
         let change = self.table.apply(now, update);
         self.report_change(update.number, change);
         // A member that comes back may have missed many updates, and we may have missed some of its own.
-        let returned = change.from.is_some_and(|s| !s.present()) && update.state.present();
+        let returned = change.from.is_some_and(|s| !s.is_present()) && update.state.is_present();
         if returned && update.number == from {
-            self.next_sync = self.next_sync.min(now + self.pace.probe_interval / 2);
+            self.next_sync = self.next_sync.min(now + self.timing.probe_interval / 2);
         }
     }
 
     /// Handles an update about this member: refutes an outdated claim with a higher incarnation.
-    pub(crate) fn refute(&mut self, now: Duration, update: &Word) {
+    pub(crate) fn refute(&mut self, now: Duration, update: &Update) {
         let Some((life, turn, _)) = self.table.get(self.me).map(|entry| entry.rank()) else { return };
         let new = if update.life > life {
             // Our clock was set back between two starts, or another process uses our number: the later update
@@ -106,29 +106,33 @@
         }
     }
 
-    pub(crate) fn set_state(&mut self, now: Duration, number: Number, rank: message::Rank, by: Number) {
+    pub(crate) fn set_state(
+        &mut self, now: Duration, number: MemberIndex, rank: message::Rank, by: MemberIndex,
+    ) {
         let change = self.table.set_state(now, number, rank, by);
         self.report_change(number, change);
     }
 
-    pub(crate) fn report_change(&mut self, number: Number, change: table::StateChange) {
+    pub(crate) fn report_change(&mut self, number: MemberIndex, change: table::StateChange) {
         let Some(from) = change.from else { return };
         let Some((life, _, to)) = self.table.get(number).map(|entry| entry.rank()) else { return };
         self.suspects.retain(|s| *s != number);
         if to == State::Suspect {
             self.suspects.push(number);
         }
-        self.out.push(Out::Changed { number, from, to, life });
+        self.out.push(Action::StateChanged { number, from, to, life });
     }
 
-    pub(crate) fn send_digest(&mut self, to: Number) {
+    pub(crate) fn send_digest(&mut self, to: MemberIndex) {
         let start = self.rng.random_range(0..self.count) / DIGEST_RANGE * DIGEST_RANGE;
         let end = start.saturating_add(DIGEST_RANGE).min(self.count);
         let rows = (start..end).filter_map(|n| self.table.digest_entry(n)).collect();
-        self.send(to, &What::Digest { start, end, rows }, None);
+        self.send(to, &Message::Digest { start, end, rows }, None);
     }
 
-    pub(crate) fn answer_digest(&mut self, from: Number, start: Number, end: Number, rows: &[DigestEntry]) {
+    pub(crate) fn answer_digest(
+        &mut self, from: MemberIndex, start: MemberIndex, end: MemberIndex, rows: &[DigestEntry],
+    ) {
         let end = end.min(start.saturating_add(DIGEST_RANGE)).min(self.count);
         let (mut updates, mut want) = (Vec::new(), Vec::new());
         for number in start..end {
@@ -148,7 +152,7 @@
             }
         }
         if !updates.is_empty() || !want.is_empty() {
-            self.send_updates(from, &What::Words { want }, updates);
+            self.send_updates(from, &Message::Words { want }, updates);
         }
     }
 }
--- a/crates/members/src/relay.rs
+++ b/crates/members/src/relay.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::Number;
+use crate::MemberIndex;
 
 /// Maximum number of concurrent relayed probes; further requests are ignored.
 const MAX_RELAYS: usize = 64;
 
 struct Relay {
-    requester: (Number, u32),
-    target: (Number, u32),
+    requester: (MemberIndex, u32),
+    target: (MemberIndex, u32),
     /// When the requester is sent a nack.
     nack_at: Option<Duration>,
     /// When the entry is dropped.
@@ -24,7 +24,7 @@
     /// Registers a relayed probe. `requester` and `target` are each a member with its sequence number; false
     /// if the limit is reached.
     pub fn register(
-        &mut self, now: Duration, requester: (Number, u32), target: (Number, u32), wait: Duration,
+        &mut self, now: Duration, requester: (MemberIndex, u32), target: (MemberIndex, u32), wait: Duration,
         period: Duration,
     ) -> bool {
         self.0.retain(|r| now < r.expires);
@@ -38,13 +38,13 @@
     }
 
     /// Removes the relayed probe that this ack belongs to and returns its requester.
-    pub fn take_requester(&mut self, from: Number, seq: u32) -> Option<(Number, u32)> {
+    pub fn take_requester(&mut self, from: MemberIndex, seq: u32) -> Option<(MemberIndex, u32)> {
         let at = self.0.iter().position(|r| r.target == (from, seq))?;
         Some(self.0.swap_remove(at).requester)
     }
 
     /// Requesters that are due a nack now; each is returned once.
-    pub fn take_due(&mut self, now: Duration) -> Vec<(Number, u32)> {
+    pub fn take_due(&mut self, now: Duration) -> Vec<(MemberIndex, u32)> {
         let due = self.0.iter_mut().filter(|r| r.nack_at.is_some_and(|at| now >= at));
         let requesters = due.map(|r| {
             r.nack_at = None;
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::message::{DigestEntry, Rank, Record, State, Word};
-use crate::Number;
+use crate::message::{DigestEntry, Rank, Record, State, Update};
+use crate::MemberIndex;
 
 /// Number of independent confirmations that shortens a suspicion to its minimum.
 pub const MAX_CONFIRMATIONS: usize = 3;
@@ -15,7 +15,7 @@
     /// When the suspicion began, by our clock.
     pub started: Duration,
     /// Members that suspect it independently.
-    pub by: Vec<Number>,
+    pub by: Vec<MemberIndex>,
 }
 
 /// What is known of one member.
@@ -71,7 +71,7 @@
 pub struct Table {
     entries: Vec<Entry>,
     /// Members whose update is still to be sent, the least often sent first.
-    queue: BTreeSet<(u32, Number)>,
+    queue: BTreeSet<(u32, MemberIndex)>,
     /// How often each update is sent.
     pub max_sends: u32,
     /// Number of members present.
@@ -79,28 +79,28 @@
 }
 
 impl Table {
-    pub fn new(count: Number) -> Self {
+    pub fn new(count: MemberIndex) -> Self {
         let entries = (0..count).map(|_| Entry::new()).collect();
         Table { entries, queue: BTreeSet::new(), max_sends: 4, present: 0 }
     }
 
-    pub fn get(&self, number: Number) -> Option<&Entry> {
+    pub fn get(&self, number: MemberIndex) -> Option<&Entry> {
         self.entries.get(usize::from(number))
     }
 
-    pub fn get_mut(&mut self, number: Number) -> Option<&mut Entry> {
+    pub fn get_mut(&mut self, number: MemberIndex) -> Option<&mut Entry> {
         self.entries.get_mut(usize::from(number))
     }
 
     /// Changes the number of members.
-    pub fn resize(&mut self, count: Number) {
+    pub fn resize(&mut self, count: MemberIndex) {
         self.entries.resize_with(count.into(), Entry::new);
         self.queue.retain(|(_, number)| *number < count);
-        self.present = self.entries.iter().filter(|entry| entry.state.present()).count();
+        self.present = self.entries.iter().filter(|entry| entry.state.is_present()).count();
     }
 
-    pub fn numbered(&self) -> impl Iterator<Item = (Number, &Entry)> {
-        self.entries.iter().enumerate().map(|(i, entry)| (i as Number, entry))
+    pub fn numbered(&self) -> impl Iterator<Item = (MemberIndex, &Entry)> {
+        self.entries.iter().enumerate().map(|(i, entry)| (i as MemberIndex, entry))
     }
 
     /// Number of members present, this one included.
@@ -109,16 +109,16 @@
     }
 
     /// The update about a member, as sent by `by`.
-    pub fn update(&self, number: Number, by: Number) -> Option<Word> {
+    pub fn update(&self, number: MemberIndex, by: MemberIndex) -> Option<Update> {
         let entry = self.get(number).filter(|entry| entry.state != State::Unknown)?;
         // Naming the latest confirmation lets others learn of more than one.
         let by = entry.suspicion.as_ref().and_then(|d| d.by.last().copied()).unwrap_or(by);
-        let record = entry.record.clone().filter(|_| entry.state.present());
-        Some(Word { number, life: entry.life, turn: entry.turn, state: entry.state, by, record })
+        let record = entry.record.clone().filter(|_| entry.state.is_present());
+        Some(Update { number, life: entry.life, turn: entry.turn, state: entry.state, by, record })
     }
 
     /// The digest entry of a member.
-    pub fn digest_entry(&self, number: Number) -> Option<DigestEntry> {
+    pub fn digest_entry(&self, number: MemberIndex) -> Option<DigestEntry> {
         let entry = self.get(number).filter(|entry| entry.state != State::Unknown)?;
         Some(DigestEntry {
             number,
@@ -130,7 +130,7 @@
     }
 
     /// Queues the member's update for the next datagrams.
-    pub fn enqueue(&mut self, number: Number) {
+    pub fn enqueue(&mut self, number: MemberIndex) {
         let Some(entry) = self.entries.get_mut(usize::from(number)) else { return };
         if let Some(send_count) = entry.send_count.replace(0) {
             self.queue.remove(&(send_count, number));
@@ -139,12 +139,12 @@
     }
 
     /// Up to `limit` updates to send, the least often sent first.
-    pub fn pending(&self, by: Number, limit: usize) -> Vec<Word> {
+    pub fn pending(&self, by: MemberIndex, limit: usize) -> Vec<Update> {
         self.queue.iter().take(limit).filter_map(|&(_, number)| self.update(number, by)).collect()
     }
 
     /// Counts these updates as sent once more.
-    pub fn mark_sent(&mut self, numbers: impl Iterator<Item = Number>) {
+    pub fn mark_sent(&mut self, numbers: impl Iterator<Item = MemberIndex>) {
         for number in numbers {
             let Some(entry) = self.entries.get_mut(usize::from(number)) else { continue };
             let Some(send_count) = entry.send_count else { continue };
@@ -155,7 +155,9 @@
     }
 
     /// Sets a member's state and queues the update.
-    pub fn set_state(&mut self, now: Duration, number: Number, rank: Rank, by: Number) -> StateChange {
+    pub fn set_state(
+        &mut self, now: Duration, number: MemberIndex, rank: Rank, by: MemberIndex,
+    ) -> StateChange {
         let Some(entry) = self.entries.get_mut(usize::from(number)) else { return StateChange::default() };
         let (previous, same_life) = (entry.state, entry.life == rank.0);
         (entry.life, entry.turn, entry.state) = rank;
@@ -167,14 +169,14 @@
         if changed {
             entry.since = now;
         }
-        self.present += usize::from(entry.state.present());
-        self.present -= usize::from(previous.present());
+        self.present += usize::from(entry.state.is_present());
+        self.present -= usize::from(previous.is_present());
         self.enqueue(number);
         StateChange { from: changed.then_some(previous) }
     }
 
     /// Applies an update about another member.
-    pub fn apply(&mut self, now: Duration, update: &Word) -> StateChange {
+    pub fn apply(&mut self, now: Duration, update: &Update) -> StateChange {
         let Some(entry) = self.get(update.number) else { return StateChange::default() };
         if update.state == State::Unknown {
             return StateChange::default();
@@ -201,7 +203,7 @@
     }
 
     /// Records that `by` suspects the member independently.
-    pub fn confirm(&mut self, number: Number, by: Number) {
+    pub fn confirm(&mut self, number: MemberIndex, by: MemberIndex) {
         let Some(suspicion) = self.get_mut(number).and_then(|entry| entry.suspicion.as_mut()) else { return };
         if suspicion.by.len() <= MAX_CONFIRMATIONS && !suspicion.by.contains(&by) {
             suspicion.by.push(by);
--- a/crates/subset/examples/options.rs
+++ b/crates/subset/examples/options.rs
@@ -1,7 +1,7 @@
 //! Compares subsetting algorithms: evenness and churn at 3,700 marshals and four list sizes.
 //! `cargo run --release -p ivydrift-subset --example options`
 
-use ivydrift_subset::{choose, Fleet, Node, LEAST, MIN_HOLDERS};
+use ivydrift_subset::{choose, Fleet, Node, MIN_HOLDERS, MIN_SIZE};
 
 const MARSHALS: usize = 3700;
 
@@ -98,10 +98,10 @@
 }
 
 fn node_ranked_rendezvous(ids: &[u32], marshals: usize, _: usize) -> Vec<Vec<u32>> {
-    let node = |id: &u32| Node { name: u64::from(*id), zone: 0, new: false, ready: true };
+    let node = |id: &u32| Node { name: u64::from(*id), zone: 0, on_trial: false, ready: true };
     let nodes: Vec<Node> = ids.iter().map(node).collect();
     let of = |m| {
-        let held = choose(&Fleet::new(m, marshals, 0, &[], &[]), &nodes, LEAST).held;
+        let held = choose(&Fleet::new(m, marshals, 0, &[], &[]), &nodes, MIN_SIZE).held;
         ids.iter().zip(held).filter(|(_, h)| *h).map(|(id, _)| *id).collect()
     };
     (0..marshals).map(of).collect()
@@ -132,7 +132,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for count in [16u32, 300, 3000, 44_000] {
         let ids: Vec<u32> = (0..count).collect();
-        let size = LEAST.max((MIN_HOLDERS * ids.len()).div_ceil(MARSHALS)).min(ids.len());
+        let size = MIN_SIZE.max((MIN_HOLDERS * ids.len()).div_ceil(MARSHALS)).min(ids.len());
         for (name, algorithm) in algorithms {
             let before = algorithm(&ids, MARSHALS, size);
             let (mut shares, mut holders) = (vec![0.0; ids.len()], vec![0; ids.len()]);
--- a/crates/subset/src/choice.rs
+++ b/crates/subset/src/choice.rs
@@ -11,7 +11,7 @@
     /// Index of its zone.
     pub zone: usize,
     /// Whether it runs the newest listed build, the one on trial.
-    pub new: bool,
+    pub on_trial: bool,
     /// Whether it accepts new RPCs.
     pub ready: bool,
 }
@@ -22,9 +22,9 @@
     /// Whether each node is in the subset, in list order.
     pub held: Vec<bool>,
     /// Fraction of the arm's ready nodes that are in this subset; 1 if none is.
-    pub seen: [f64; 2],
+    pub held_fraction: [f64; 2],
     /// Fraction of all marshals whose subset has a given node of the arm, a lower bound; 1 if there is none.
-    pub holders: [f64; 2],
+    pub holder_fraction: [f64; 2],
 }
 
 /// Fractions of each arm's nodes by distance: same zone, same region, elsewhere.
@@ -33,7 +33,7 @@
 /// Results of the last choice, so that the next one recomputes only what has changed. It does not affect the
 /// result.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct ChoiceCache {
     fleet: Option<Fleet>,
     /// Each node's name, zone index, maximum number of holders, and whether this marshal is one of them, in
     /// list order.
@@ -45,17 +45,17 @@
 
 /// Chooses this marshal's subset of a list, with `want` nodes as the target size.
 pub fn choose(fleet: &Fleet, nodes: &[Node], want: usize) -> Choice {
-    choose_again(fleet, nodes, want, &mut Memory::default())
+    choose_with_memory(fleet, nodes, want, &mut ChoiceCache::default())
 }
 
 /// As [`choose`], reusing the results of the last choice.
-pub fn choose_again(fleet: &Fleet, nodes: &[Node], want: usize, memory: &mut Memory) -> Choice {
+pub fn choose_with_memory(fleet: &Fleet, nodes: &[Node], want: usize, cache: &mut ChoiceCache) -> Choice {
     if nodes.len() <= want {
-        return Choice { held: vec![true; nodes.len()], seen: [1.0; 2], holders: [1.0; 2] };
+        return Choice { held: vec![true; nodes.len()], held_fraction: [1.0; 2], holder_fraction: [1.0; 2] };
     }
     let mut listed = vec![[0usize; 2]; fleet.zone_index_count()];
     for node in nodes.iter().filter(|n| n.ready) {
-        listed[fleet.zone_index(node.zone)][usize::from(node.new)] += 1;
+        listed[fleet.zone_index(node.zone)][usize::from(node.on_trial)] += 1;
     }
     let wanted = wanted_per_arm(&listed, want);
     let own = distance_fractions(fleet, &listed, &wanted, fleet.zone);
@@ -73,12 +73,12 @@
             )
         })
         .collect();
-    let previous = std::mem::take(&mut memory.entries);
-    let previous = if memory.fleet.as_ref() == Some(fleet) { &previous[..] } else { &[] };
-    memory.entries.reserve(nodes.len());
+    let previous = std::mem::take(&mut cache.entries);
+    let previous = if cache.fleet.as_ref() == Some(fleet) { &previous[..] } else { &[] };
+    cache.entries.reserve(nodes.len());
     let mut next = 0;
     let mut holds = |node: &Node| {
-        let (zone, arm) = (fleet.zone_index(node.zone), usize::from(node.new));
+        let (zone, arm) = (fleet.zone_index(node.zone), usize::from(node.on_trial));
         let (count, quota) = (quota[zone].0, quota[zone].1[arm]);
         // Treats it as all of them even if the product of fractions falls short by rounding.
         let all = quota + 1e-6 >= count as f64;
@@ -88,21 +88,25 @@
         next += at.map_or(0, |at| at + 1);
         let known = known.filter(|f| (f.1, f.2) == (zone, max_holders)).map(|f| f.3);
         let held = known.unwrap_or_else(|| all || fleet.is_holder(node.name, zone, max_holders));
-        memory.entries.push((node.name, zone, max_holders, held));
+        cache.entries.push((node.name, zone, max_holders, held));
         held
     };
     let mut held: Vec<bool> = nodes.iter().map(&mut holds).collect();
-    memory.fleet = Some(fleet.clone());
+    cache.fleet = Some(fleet.clone());
     for (arm, wanted) in wanted.iter().enumerate() {
         fill_arm(fleet, nodes, &mut held, arm, (wanted / 2.0) as usize);
     }
-    Choice { seen: seen(nodes, &held), holders: holders(fleet, &listed, &wanted, &own), held }
+    Choice {
+        held_fraction: held_fractions(nodes, &held),
+        holder_fraction: holders(fleet, &listed, &wanted, &own),
+        held,
+    }
 }
 
 /// Fraction of each arm's ready nodes that are held; 1 if none is.
-pub fn seen(nodes: &[Node], held: &[bool]) -> [f64; 2] {
+pub fn held_fractions(nodes: &[Node], held: &[bool]) -> [f64; 2] {
     [false, true].map(|new| {
-        let arm = || nodes.iter().zip(held).filter(|(n, _)| n.ready && n.new == new);
+        let arm = || nodes.iter().zip(held).filter(|(n, _)| n.ready && n.on_trial == new);
         let (all, held_count) = (arm().count(), arm().filter(|(_, held)| **held).count());
         if held_count == 0 {
             1.0
@@ -149,7 +153,7 @@
 /// Adds nodes if chance gave the marshal too few of an arm: nearest first, by its own ranking. Those nodes
 /// get one holder more.
 fn fill_arm(fleet: &Fleet, nodes: &[Node], held: &mut [bool], arm: usize, target: usize) {
-    let of_arm = |i: &usize| nodes[*i].ready && usize::from(nodes[*i].new) == arm;
+    let of_arm = |i: &usize| nodes[*i].ready && usize::from(nodes[*i].on_trial) == arm;
     let minimum = target.max(MIN_HELD_PER_ARM);
     let held_count = (0..nodes.len()).filter(of_arm).filter(|i| held[*i]).count();
     if held_count >= minimum {
--- a/crates/subset/src/fleet.rs
+++ b/crates/subset/src/fleet.rs
@@ -44,7 +44,7 @@
     }
 
     /// Sets which marshals are dead; true if that changed. This marshal itself never counts as dead.
-    pub fn bury(&mut self, dead: impl IntoIterator<Item = usize>) -> bool {
+    pub fn set_dead(&mut self, dead: impl IntoIterator<Item = usize>) -> bool {
         let mut now = vec![false; self.dead.len()];
         for number in dead.into_iter().filter(|n| *n < now.len() && *n != self.number).collect::<Vec<_>>() {
             now[number] = true;
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -15,14 +15,14 @@
 mod fleet;
 mod size;
 
-pub use choice::{choose, choose_again, seen, Choice, Memory, Node};
+pub use choice::{choose, choose_with_memory, held_fractions, Choice, ChoiceCache, Node};
 pub use fleet::Fleet;
 pub use size::Size;
 
 /// Minimum subset size. Two random choices among 24 nodes find an idle one even with a quarter of them
 /// ejected as outliers, and at the peak of 95 RPCs/s per marshal each node gets four RPCs a second, so its
 /// health shows within seconds.
-pub const LEAST: usize = 24;
+pub const MIN_SIZE: usize = 24;
 
 /// Minimum number of marshals that hold a node, as far as there are that many. Five can die at once
 /// unnoticed, and the random differences between the sizes of its holders' subsets even out.
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Size {
     least: usize,
-    want: usize,
+    target: usize,
     /// Since when a smaller size has sufficed.
     smaller_since: Option<Duration>,
 }
@@ -27,12 +27,12 @@
 impl Size {
     /// Starts at the minimum size.
     pub fn new(least: usize) -> Self {
-        Size { least, want: least, smaller_since: None }
+        Size { least, target: least, smaller_since: None }
     }
 
     /// The target number of nodes.
-    pub fn want(&self) -> usize {
-        self.want
+    pub fn target(&self) -> usize {
+        self.target
     }
 
     /// The smallest size that suffices for this many RPCs per second.
@@ -45,20 +45,20 @@
     }
 
     /// Takes the rate of the last seconds, in RPCs per second; true if the target size changed.
-    pub fn look(&mut self, now: Duration, rate: f64) -> bool {
+    pub fn update(&mut self, now: Duration, rate: f64) -> bool {
         let (needed, smaller) = (self.size_for(rate), self.size_for(rate * SHRINK_MARGIN));
-        if needed > self.want {
-            (self.want, self.smaller_since) = (needed, None);
+        if needed > self.target {
+            (self.target, self.smaller_since) = (needed, None);
             return true;
         }
-        if smaller >= self.want {
+        if smaller >= self.target {
             self.smaller_since = None;
             return false;
         }
         let since = *self.smaller_since.get_or_insert(now);
         let shrink = now >= since + SHRINK_DELAY;
         if shrink {
-            (self.want, self.smaller_since) = (smaller, None);
+            (self.target, self.smaller_since) = (smaller, None);
         }
         shrink
     }
--- a/crates/terms/src/subset.rs
+++ b/crates/terms/src/subset.rs
@@ -22,7 +22,7 @@
         return None;
     }
     top.block("subset", |block| {
-        let least = block.integer("least", Some(ivydrift_subset::LEAST as u64), 2..=10_000) as usize;
+        let least = block.integer("least", Some(ivydrift_subset::MIN_SIZE as u64), 2..=10_000) as usize;
         let numbers = block.numbers("marshals", Some(vec![]), 0.0..=10_000.0);
         let marshals: Vec<usize> = numbers.iter().map(|n| *n as usize).collect();
         let error = |message: String| block.error(Some("marshals"), message);
