--- a/crates/audit/src/exposure.rs
+++ b/crates/audit/src/exposure.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use crate::trace::{Law, Method, Repeat, RolloutState};
+use crate::trace::{Limits, Method, Repeat, RolloutState};
 
 /// Build, stage, course and cap, as the rollout controller announced them.
 type StageState = (u32, u32, RolloutState, f64);
@@ -47,7 +47,7 @@
     }
 
     /// Records the rollout state that the controller sent to the marshal.
-    pub fn record_rollout(&mut self, now: u64, law: &Law, (build, stage, course, cap): StageState) {
+    pub fn record_rollout(&mut self, now: u64, law: &Limits, (build, stage, course, cap): StageState) {
         let cap = if matches!(course, RolloutState::GoingBack | RolloutState::Withdrawn) { 0.0 } else { cap };
         if let Some((old, _, _, old_cap)) = self.rollout.filter(|n| n.0 == build && n.3 > cap) {
             self.previous_cap = Some((now + law.drain_grace_us, old_cap));
@@ -64,7 +64,7 @@
 
     /// Checks one pick that the marshal sent to a node of this build.
     pub fn check_pick(
-        &mut self, now: u64, law: &Law, (build, slot): (u32, usize), method: &Method, key: u64,
+        &mut self, now: u64, law: &Limits, (build, slot): (u32, usize), method: &Method, key: u64,
     ) -> PickCheck {
         let mut check = PickCheck::default();
         let Some((newest, stage, course, current_cap)) = self.rollout else { return check };
@@ -115,7 +115,7 @@
     }
 
     /// Drops times that lie before every window.
-    pub fn drop_expired(&mut self, now: u64, law: &Law) {
+    pub fn drop_expired(&mut self, now: u64, law: &Limits) {
         let before = now.saturating_sub(law.window_us + law.slack_us);
         self.accepted.values_mut().chain(self.sent.values_mut()).for_each(|times| drop_before(times, before));
     }
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -35,7 +35,7 @@
 
 /// The limits to check against: the first line of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Law {
+pub struct Limits {
     pub methods: Vec<Method>,
     /// How long after a notice (node draining, cap lowered) the old state may still be used.
     pub drain_grace_us: u64,
@@ -68,7 +68,7 @@
 /// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum AnswerKind {
     Ok,
     PushedBack,
     Aborted,
@@ -97,7 +97,7 @@
 /// What happened to the process of a marshal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Turn {
+pub enum ProcessEvent {
     Started,
     /// Killed without notice.
     Killed,
@@ -112,8 +112,8 @@
 /// An observed event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "e", rename_all = "kebab-case")]
-pub enum Seen {
-    Law(Law),
+pub enum Event {
+    Law(Limits),
     /// A client sent an attempt to a marshal. All attempts of one RPC share `call`; `left_us` is the time until the
     /// client's deadline.
     Asked {
@@ -127,7 +127,7 @@
     /// The client received a complete final answer.
     Answered {
         id: u64,
-        kind: Kind,
+        kind: AnswerKind,
         build: u32,
         picks: u32,
     },
@@ -197,7 +197,7 @@
     /// A marshal's process changed state.
     Marshal {
         marshal: u32,
-        turn: Turn,
+        turn: ProcessEvent,
     },
     /// A node started. `capacity`: seconds of work that it does in a second when warm.
     Up {
@@ -224,12 +224,12 @@
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub service: String,
     #[serde(flatten)]
-    pub seen: Seen,
+    pub seen: Event,
 }
 
 impl Line {
     /// Creates a line for a run with only one service.
-    pub fn new(t: u64, seen: Seen) -> Line {
+    pub fn new(t: u64, seen: Event) -> Line {
         Line { t, service: String::new(), seen }
     }
 
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -95,7 +95,7 @@
     }
 
     /// Sets the deadline, counted from the start of the call; the default is the method's.
-    pub fn within(mut self, span: Duration) -> Self {
+    pub fn timeout(mut self, span: Duration) -> Self {
         self.within = Some(span);
         self
     }
@@ -175,13 +175,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Tried<'a> {
+pub enum AttemptOutcome<'a> {
     /// An answer arrived. `more`: further bytes followed it, which belong to no request.
     Answered { reply: Reply, answer: &'a Answer, more: bool },
     /// The call's deadline passed.
-    TimeUp,
+    DeadlineExceeded,
     /// The connection was closed or failed. `sent`: a byte of the RPC was written to it.
-    Broken { sent: bool },
+    ConnectionLost { sent: bool },
 }
 
 /// Receives events of calls and their attempts, for the application's metrics or traces. Its methods run on the
@@ -191,14 +191,14 @@
     fn connecting(&self, _to: SocketAddr) {}
 
     /// An attempt is about to be sent. The returned header field is sent with it.
-    fn sending(
+    fn attempt_starting(
         &self, _tag: u64, _to: SocketAddr, _left: Duration, _earlier: u32,
     ) -> Option<(&'static str, String)> {
         None
     }
 
     /// An attempt has ended.
-    fn tried(&self, _tag: u64, _how: Tried) {}
+    fn attempt_ended(&self, _tag: u64, _how: AttemptOutcome) {}
 
     /// A call has ended, after `tries` attempts.
     fn call_ended(&self, _tag: u64, _method: &str, _end: End, _took: Duration, _tries: u32) {}
--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -9,9 +9,9 @@
 
 use ivydrift_wire::message;
 
-use crate::call::{Answer, Call, Error, Observer, Tried};
+use crate::call::{Answer, AttemptOutcome, Call, Error, Observer};
 use crate::codec;
-use crate::core::{Action, CallId, ConnId, Core, Counts, End, Event, Kind, Manners, Reply};
+use crate::core::{Action, CallId, ClientConfig, ConnId, Core, Counts, End, Event, Kind, Reply};
 use crate::tokens::Tokens;
 
 /// Longest accepted answer.
@@ -66,7 +66,7 @@
 pub struct Builder {
     marshals: Vec<(SocketAddr, bool)>,
     methods: HashMap<String, (Kind, Duration)>,
-    manners: Manners,
+    config: ClientConfig,
     seed: Option<u64>,
     observer: Option<Arc<dyn Observer>>,
 }
@@ -79,7 +79,7 @@
     }
 
     /// Adds a marshal of another zone, used only if no near one is available.
-    pub fn far_marshal(mut self, at: SocketAddr) -> Self {
+    pub fn remote_marshal(mut self, at: SocketAddr) -> Self {
         self.marshals.push((at, false));
         self
     }
@@ -91,8 +91,8 @@
     }
 
     /// Sets the channel's parameters.
-    pub fn manners(mut self, manners: Manners) -> Self {
-        self.manners = manners;
+    pub fn config(mut self, config: ClientConfig) -> Self {
+        self.config = config;
         self
     }
 
@@ -113,14 +113,14 @@
             return Err(Error::BadCall("a channel needs at least one marshal and one method"));
         }
         let near: Vec<bool> = self.marshals.iter().map(|m| m.1).collect();
-        let (seed, warm) = (self.seed.unwrap_or_else(rand::random), self.manners.warm > 0);
+        let (seed, warm) = (self.seed.unwrap_or_else(rand::random), self.config.warm_connections > 0);
         let shared = Arc::new(Shared {
             methods: self.methods,
             observer: self.observer,
             epoch: Instant::now(),
             next_id: AtomicU64::new(0),
             inner: Mutex::new(Inner {
-                core: Core::new(self.manners, &near, seed),
+                core: Core::new(self.config, &near, seed),
                 marshals: self.marshals.into_iter().map(|m| m.0).collect(),
                 connections: HashMap::new(),
                 mailboxes: HashMap::new(),
@@ -275,22 +275,23 @@
                     let (event, outcome) = match &attempt {
                         Ok(received) => {
                             let (reply, keep, more) = (received.reply, received.keep, received.more);
-                            let outcome = Tried::Answered { reply, answer: &received.answer, more };
+                            let outcome = AttemptOutcome::Answered { reply, answer: &received.answer, more };
                             (Event::Answered { call: id, reply, keep }, outcome)
                         }
                         // The core decides when the deadline has passed.
                         Err((_, e)) if e.kind() == ErrorKind::TimedOut || past_deadline => {
-                            (Event::Tick, Tried::TimeUp)
-                        }
-                        Err((sent, _)) => {
-                            (Event::Lost { call: id, sent: *sent }, Tried::Broken { sent: *sent })
+                            (Event::Tick, AttemptOutcome::DeadlineExceeded)
                         }
+                        Err((sent, _)) => (
+                            Event::Lost { call: id, sent: *sent },
+                            AttemptOutcome::ConnectionLost { sent: *sent },
+                        ),
                     };
                     if let Some(span) = attempt.as_ref().ok().and_then(|received| received.spread) {
                         shared.handle_event(Event::Spread { call: id, span });
                     }
                     if let Some(observer) = shared.observer.as_ref().filter(|_| announced) {
-                        observer.tried(call.tag, outcome);
+                        observer.attempt_ended(call.tag, outcome);
                     }
                     received = attempt.ok().map(|received| received.answer).or(received);
                     shared.handle_event(event);
@@ -429,7 +430,10 @@
         if !M::is_idle(&M::handle(&connection)) {
             return Err((false, ErrorKind::ConnectionReset.into()));
         }
-        let more = self.observer.as_ref().and_then(|o| o.sending(call.tag, to, time_left, previous_attempts));
+        let more = self
+            .observer
+            .as_ref()
+            .and_then(|o| o.attempt_starting(call.tag, to, time_left, previous_attempts));
         *announced = true;
         let request = codec::encode_call(call, time_left, previous_attempts, more);
         M::write(&mut connection, &request, deadline).map_err(|(n, e)| (n > 0, e))?;
--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -28,49 +28,49 @@
 
 /// Parameters of a channel. The defaults suit an application with a few calls per second.
 #[derive(Clone, Debug)]
-pub struct Manners {
+pub struct ClientConfig {
     /// Maximum number of calls queued for a connection; further calls are refused at once.
-    pub queue: usize,
+    pub max_queued_calls: usize,
     /// Number of connections kept established between calls, so that a call needs no handshake.
-    pub warm: usize,
+    pub warm_connections: usize,
     /// Maximum number of connections to one marshal.
-    pub connections: usize,
+    pub max_connections_per_marshal: usize,
     /// Maximum number of concurrent handshakes, to all marshals together.
-    pub handshakes: usize,
+    pub max_handshakes: usize,
     /// Retry budget: retries earned by each call.
-    pub earned: f64,
+    pub retries_per_call: f64,
     /// Maximum of the retry budget, which is also its initial value.
-    pub store: f64,
+    pub max_retry_budget: f64,
     /// Backoff before a retry, as base and maximum: a random part of a span that starts at the base and doubles
     /// with each attempt.
-    pub wait: [Duration; 2],
+    pub retry_backoff: [Duration; 2],
     /// The same for connections to a marshal that refused or closed one.
     pub reconnect_backoff: [Duration; 2],
     /// Outlier ejection: after this many consecutive failures a marshal is not used for this time. At most half
     /// of the marshals are ejected at once.
     pub ejection: (u32, Duration),
     /// Connections that have been idle for longer than this are not used for non-idempotent calls.
-    pub fresh: Duration,
+    pub max_idle_for_non_idempotent: Duration,
     /// Calls are throttled at random once attempts exceed this multiple of the accepted ones.
     pub throttle_ratio: f64,
     /// Shortest time in which an answer can arrive; nothing is sent with less time left.
     pub min_time_left: Duration,
 }
 
-impl Default for Manners {
+impl Default for ClientConfig {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Manners {
-            queue: 100,
-            warm: 0,
-            connections: 4,
-            handshakes: 2,
-            earned: 0.1,
-            store: 10.0,
-            wait: [ms(50), ms(1000)],
+        ClientConfig {
+            max_queued_calls: 100,
+            warm_connections: 0,
+            max_connections_per_marshal: 4,
+            max_handshakes: 2,
+            retries_per_call: 0.1,
+            max_retry_budget: 10.0,
+            retry_backoff: [ms(50), ms(1000)],
             reconnect_backoff: [ms(200), ms(10_000)],
             ejection: (3, ms(2000)),
-            fresh: ms(1000),
+            max_idle_for_non_idempotent: ms(1000),
             throttle_ratio: 2.0,
             min_time_left: ms(5),
         }
@@ -212,7 +212,7 @@
 
 /// The state machine of a channel.
 pub struct Core {
-    manners: Manners,
+    config: ClientConfig,
     marshals: Vec<Marshal>,
     conns: BTreeMap<ConnId, ConnState>,
     calls: HashMap<CallId, Call>,
@@ -249,11 +249,11 @@
 
 impl Core {
     /// Creates the core. `near` tells for each marshal whether it is in the caller's zone.
-    pub fn new(manners: Manners, near: &[bool], seed: u64) -> Self {
+    pub fn new(config: ClientConfig, near: &[bool], seed: u64) -> Self {
         let marshals = near.iter().map(|&near| Marshal { near, ..Marshal::default() }).collect();
         Core {
-            retry_budget: manners.store,
-            manners,
+            retry_budget: config.max_retry_budget,
+            config,
             marshals,
             conns: BTreeMap::new(),
             calls: HashMap::new(),
@@ -277,7 +277,7 @@
             self.marshals.iter().map(|m| m.connect_after.max(m.ejected_until)).filter(|&at| at > self.now);
         let next = ahead.min();
         let queued = next.filter(|_| !self.queue.is_empty());
-        let warm = (self.conns.len() < self.manners.warm).then_some(());
+        let warm = (self.conns.len() < self.config.warm_connections).then_some(());
         let warm = warm.and_then(|()| Some(self.warm_connect_after).filter(|&at| at > self.now).or(next));
         self.timers.first().map(|d| d.0).into_iter().chain(queued).chain(warm).min()
     }
@@ -342,7 +342,7 @@
                     // reconnect is jittered.
                     self.back_off(now, marshal);
                     if draining {
-                        self.marshals[marshal].ejected_until = now + self.manners.ejection.1;
+                        self.marshals[marshal].ejected_until = now + self.config.ejection.1;
                     }
                 }
             }
@@ -367,10 +367,11 @@
     ) {
         self.counts.calls += 1;
         self.decay(now);
-        self.retry_budget = (self.retry_budget + self.manners.earned).min(self.manners.store);
+        self.retry_budget =
+            (self.retry_budget + self.config.retries_per_call).min(self.config.max_retry_budget);
         // Adaptive throttling as in Google's SRE book: the rate of local refusals grows with that of the
         // marshals' push-backs.
-        let excess = (self.recent_attempts - self.manners.throttle_ratio * (self.recent_accepted + 5.0))
+        let excess = (self.recent_attempts - self.config.throttle_ratio * (self.recent_accepted + 5.0))
             / (self.recent_attempts + 1.0);
         if excess > 0.0 && self.rng.random_bool(excess.min(MAX_THROTTLE_PROBABILITY)) {
             self.counts.throttled += 1;
@@ -378,7 +379,7 @@
             actions.push(Action::Finish { call, end: End::PushedBack { local: true } });
             return;
         }
-        if self.queue.len() >= self.manners.queue {
+        if self.queue.len() >= self.config.max_queued_calls {
             actions.push(Action::Finish { call, end: End::QueueFull });
             return;
         }
@@ -422,7 +423,7 @@
     /// Delays new connections to a marshal after a failed or closed connection.
     fn back_off(&mut self, now: Duration, marshal: usize) {
         let Marshal { connect_failures, reconnect_spread, .. } = self.marshals[marshal];
-        let [base, limit] = self.manners.reconnect_backoff;
+        let [base, limit] = self.config.reconnect_backoff;
         let (base, limit) = (base.max(reconnect_spread), limit.max(reconnect_spread));
         let wait = self.jitter([base, limit], connect_failures);
         self.marshals[marshal].connect_failures += 1;
@@ -441,7 +442,7 @@
     /// Counts a failure of a marshal and ejects it if it has too many, as long as at most half of the marshals
     /// are ejected.
     fn record_failure(&mut self, now: Duration, marshal: usize) {
-        let (limit, span) = self.manners.ejection;
+        let (limit, span) = self.config.ejection;
         self.marshals[marshal].failures += 1;
         let present = || self.marshals.iter().filter(|m| !m.removed);
         let (ejected, total) = (present().filter(|m| m.ejected_until > now).count(), present().count());
@@ -506,7 +507,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(attempts) = self.calls.get(&id).map(|c| c.attempts) else { return };
-        let wait = wait.unwrap_or_else(|| self.jitter(self.manners.wait, attempts.saturating_sub(1)));
+        let wait = wait.unwrap_or_else(|| self.jitter(self.config.retry_backoff, attempts.saturating_sub(1)));
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.may_have_run |= may_have_run;
         // Once an attempt may have run, the call may have run, whatever a later attempt reports.
@@ -523,10 +524,10 @@
                 !call.may_have_run
                     || call
                         .first_sent
-                        .is_none_or(|first_sent| at + self.manners.min_time_left < first_sent + window)
+                        .is_none_or(|first_sent| at + self.config.min_time_left < first_sent + window)
             }
         };
-        if !allowed || at + self.manners.min_time_left >= call.deadline || self.retry_budget < 1.0 {
+        if !allowed || at + self.config.min_time_left >= call.deadline || self.retry_budget < 1.0 {
             self.finish(id, end, actions);
             return;
         }
@@ -609,7 +610,7 @@
         while let Some(id) = self.queue.pop_front() {
             let Some(call) = self.calls.get(&id) else { continue };
             let time_left = call.deadline.saturating_sub(now);
-            if time_left <= self.manners.min_time_left {
+            if time_left <= self.config.min_time_left {
                 // No answer can arrive in time: the call stays queued until its deadline ends it.
                 unsent.push_back(id);
                 continue;
@@ -618,14 +619,14 @@
             if let (Kind::Tokened { window }, true, Some(first_sent)) =
                 (call.kind, call.may_have_run, call.first_sent)
             {
-                if now + self.manners.min_time_left >= first_sent + window {
+                if now + self.config.min_time_left >= first_sent + window {
                     let end = call.last_end.unwrap_or(End::Unknown);
                     self.finish(id, end, actions);
                     continue;
                 }
             }
             let must_be_fresh = call.kind == Kind::NonIdempotent;
-            let fresh = self.manners.fresh;
+            let fresh = self.config.max_idle_for_non_idempotent;
             let usable = move |c: &ConnState, m: usize| matches!(*c, ConnState::Idle(owner, since) if owner == m && (!must_be_fresh || now.saturating_sub(since) < fresh));
             let idle = self.choose_marshal(now, |core, m| core.conns.values().any(|c| usable(c, m)));
             let conn = idle.and_then(|m| self.conns.iter().rev().find(|c| usable(c.1, m)).map(|c| *c.0));
@@ -650,11 +651,11 @@
         let missing_warm = if now < self.warm_connect_after {
             0
         } else {
-            self.manners.warm.saturating_sub(self.conns.len())
+            self.config.warm_connections.saturating_sub(self.conns.len())
         };
-        let wanted = self.queue.len().max(missing_warm + connecting).min(self.manners.handshakes);
+        let wanted = self.queue.len().max(missing_warm + connecting).min(self.config.max_handshakes);
         for _ in connecting..wanted {
-            let limit = self.manners.connections;
+            let limit = self.config.max_connections_per_marshal;
             let has_room = |core: &Self, m: usize| {
                 let own = core.conns.values().filter(|c| c.marshal() == m).count();
                 core.marshals[m].connect_after <= now && own < limit
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -15,6 +15,6 @@
 mod tokens;
 
 pub use blocking::Channel;
-pub use call::{Answer, Call, Cancel, Error, Observer, Tried};
+pub use call::{Answer, AttemptOutcome, Call, Cancel, Error, Observer};
 pub use channel::{Builder, Runtime};
-pub use core::{End, Kind, Manners, Reply};
+pub use core::{ClientConfig, End, Kind, Reply};
--- a/crates/ivydrift/src/audit.rs
+++ b/crates/ivydrift/src/audit.rs
@@ -33,7 +33,7 @@
                 } else {
                     print!("{}", result.rules());
                 }
-                if result.report.kept() {
+                if result.report.is_clean() {
                     ExitCode::SUCCESS
                 } else {
                     ExitCode::FAILURE
--- a/crates/ivydrift/src/day.rs
+++ b/crates/ivydrift/src/day.rs
@@ -163,12 +163,16 @@
             .set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
         let mut processes = MarshalProcesses::new(&folder, day.marshals);
         let trace = self.trace_writer().map_err(|e| e.to_string())?;
-        let outcome = sockets::play(day, &mut processes, trace, &mut |progress| {
+        let outcome = sockets::run(day, &mut processes, trace, &mut |progress| {
             progress_bar.set_position(progress.now.as_millis() as u64);
-            let standing = progress.standing;
+            let rollout_status = progress.rollout_status;
             progress_bar.set_message(format!(
                 "{} RPCs, {} in progress; build {} stage {} {:?}",
-                progress.asked, progress.in_hand, standing.build, standing.stage, standing.course
+                progress.asked,
+                progress.attempts_in_flight,
+                rollout_status.build,
+                rollout_status.stage,
+                rollout_status.course
             ));
         });
         progress_bar.finish_and_clear();
--- a/crates/ivydrift/src/processes.rs
+++ b/crates/ivydrift/src/processes.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use ivydrift_standin::sockets::Marshals;
+use ivydrift_standin::sockets::ProcessControl;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
@@ -28,7 +28,7 @@
     }
 }
 
-impl Marshals for MarshalProcesses {
+impl ProcessControl for MarshalProcesses {
     fn start(&mut self, marshal: usize, config: &str) -> io::Result<()> {
         let config_path = self.folder.join(format!("edge-{marshal}.hcl"));
         std::fs::write(&config_path, config)?;
@@ -54,11 +54,11 @@
         }
     }
 
-    fn stop(&mut self, marshal: usize, suspend: bool) {
+    fn set_suspended(&mut self, marshal: usize, suspend: bool) {
         self.signal(marshal, if suspend { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
 
-    fn end(&mut self, marshal: usize) -> bool {
+    fn shut_down(&mut self, marshal: usize) -> bool {
         self.signal(marshal, Signal::SIGTERM);
         let Some(mut child) = self.children[marshal].take() else { return false };
         let deadline = Instant::now() + Duration::from_secs(8);
--- a/crates/ivydrift/src/result.rs
+++ b/crates/ivydrift/src/result.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 
 /// The rollout's states over time, as the rollout controller recorded them.
-pub type RolloutHistory = Vec<(Duration, ivydrift_standin::Standing)>;
+pub type RolloutHistory = Vec<(Duration, ivydrift_standin::RolloutStatus)>;
 
 /// The result of a day, or of an audit alone.
 pub struct DayResult {
@@ -24,7 +24,7 @@
 }
 
 /// Formats a rollout state in a few words.
-fn describe(s: &ivydrift_standin::Standing) -> String {
+fn describe(s: &ivydrift_standin::RolloutStatus) -> String {
     let word = match s.course {
         RolloutState::OnTrial => "trial",
         RolloutState::GoingBack => "going back",
@@ -42,7 +42,7 @@
 impl DayResult {
     /// Returns true if every rule was kept, every marshal shut down cleanly and no connection leaked.
     pub fn passed(&self) -> bool {
-        self.report.kept() && self.clean.iter().all(|&c| c) && self.leaked == 0
+        self.report.is_clean() && self.clean.iter().all(|&c| c) && self.leaked == 0
     }
 
     /// Formats the result as text.
@@ -124,19 +124,27 @@
             report.asked, report.ok, report.pushed_back, report.aborted, report.left, report.excused
         );
         for (i, rule) in RULES.iter().enumerate() {
-            let verdict = if report.broken[i] == 0 { "kept" } else { "BROKEN" };
-            let nearest = if report.nearest[i] > 0.0 {
-                format!(", nearest {:.2} of the limit", report.nearest[i])
+            let verdict = if report.breach_counts[i] == 0 { "kept" } else { "BROKEN" };
+            let nearest = if report.max_usage[i] > 0.0 {
+                format!(", nearest {:.2} of the limit", report.max_usage[i])
+            } else {
+                String::new()
+            };
+            let times = if report.breach_counts[i] > 0 {
+                format!(" {} times", report.breach_counts[i])
             } else {
                 String::new()
             };
-            let times =
-                if report.broken[i] > 0 { format!(" {} times", report.broken[i]) } else { String::new() };
             let _ = writeln!(out, "rule {rule}: {verdict}{times} ({} checked{nearest})", report.checked[i]);
         }
         for breach in report.breaches.iter().take(10) {
-            let _ =
-                writeln!(out, "  {:>8.3} s, line {}: {}", breach.t as f64 / 1e6, breach.line, breach.what);
+            let _ = writeln!(
+                out,
+                "  {:>8.3} s, line {}: {}",
+                breach.t as f64 / 1e6,
+                breach.line,
+                breach.description
+            );
         }
         out
     }
@@ -155,7 +163,7 @@
                 })),
             })
         };
-        let standing_json = |(t, s): &(Duration, ivydrift_standin::Standing)| {
+        let standing_json = |(t, s): &(Duration, ivydrift_standin::RolloutStatus)| {
             json!({
                 "t_s": t.as_secs_f64(), "build": s.build, "stage": s.stage, "course": s.course, "cap": s.cap,
             })
@@ -163,13 +171,13 @@
         let report = &self.report;
         let rule_json = |i: usize| {
             json!({
-                "rule": RULES[i], "checked": report.checked[i], "broken": report.broken[i],
-                "nearest": report.nearest[i],
+                "rule": RULES[i], "checked": report.checked[i], "broken": report.breach_counts[i],
+                "nearest": report.max_usage[i],
             })
         };
         let breach_json = |breach: &ivydrift_audit::Breach| {
             json!({
-                "t_us": breach.t, "line": breach.line, "rule": RULES[breach.rule], "what": breach.what,
+                "t_us": breach.t, "line": breach.line, "rule": RULES[breach.rule], "what": breach.description,
             })
         };
         json!({
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod sockets;
 pub mod tally;
 
-pub use rollout::Standing;
+pub use rollout::RolloutStatus;
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -11,7 +11,7 @@
 
 use ivydrift_wire::peer;
 
-use crate::links::{Fault, Links};
+use crate::links::{LinkFault, Links};
 
 /// The longest wait for a datagram before delayed ones are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -47,7 +47,7 @@
     }
 
     /// The peer addresses for marshal `number`: its own as it is, the relay's for all others.
-    pub fn told(&self, number: usize, own: SocketAddr) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self, number: usize, own: SocketAddr) -> Vec<SocketAddr> {
         let mut all = self.to.clone();
         all[number] = own;
         all
@@ -59,9 +59,9 @@
     }
 
     /// Applies a fault from now until [`Relay::heal`].
-    pub fn harm(&self, fault: Fault) {
+    pub fn inject(&self, fault: LinkFault) {
         let at = self.now();
-        self.links.lock().unwrap().add(Fault { at, lasts: Duration::MAX, ..fault });
+        self.links.lock().unwrap().add(LinkFault { at, lasts: Duration::MAX, ..fault });
     }
 
     /// Removes all faults.
--- a/crates/standin/src/sim.rs
+++ b/crates/standin/src/sim.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::Duration;
 
-use ivydrift_audit::trace::{Kind as Answer, Line};
+use ivydrift_audit::trace::{AnswerKind as Answer, Line};
 use ivydrift_audit::{Auditor, Report};
 use ivydrift_marshal::{Ballot, Call, Command as MarshalCommand, Core, Counts, Id, Input, Observation};
 use ivydrift_wire::controller::{RolloutUpdate, Vote};
@@ -15,7 +15,7 @@
 
 use crate::day::{Addresses, Day};
 use crate::environment::{Attempt, AttemptEnd, Command, Environment, NodeResponse, ReceivedRpc};
-use crate::rollout::Standing;
+use crate::rollout::RolloutStatus;
 use crate::tally::Phase;
 
 /// The marshals' clock starts this long before the run, as it does in the real process.
@@ -32,7 +32,7 @@
     pub report: Report,
     pub phases: Vec<Phase>,
     /// Every state of the rollouts, and when it began.
-    pub course: Vec<(Duration, Standing)>,
+    pub course: Vec<(Duration, RolloutStatus)>,
     /// Votes that were counted.
     pub votes: u64,
     /// Attempt accounting of the marshal processes that lived to the end.
@@ -155,7 +155,7 @@
 fn addresses(day: &Day) -> Addresses {
     let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let peers = (0..day.marshals).map(|m| at(7000 + m as u16)).collect();
-    Addresses { listen: at(7100), node_list: at(7001), release_desk: at(7002), peers }
+    Addresses { listen: at(7100), node_list: at(7001), rollout_controller: at(7002), peers }
 }
 
 /// Runs a day. `keep_trace` returns its trace as well.
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -19,7 +19,7 @@
 use crate::clients::Clients;
 use crate::day::{Addresses, Day};
 use crate::environment::{Command, Environment, NodeResponse, ReceivedRpc};
-use crate::rollout::Standing;
+use crate::rollout::RolloutStatus;
 use crate::run_state::{RunState, Server};
 use crate::tally::Phase;
 
@@ -30,7 +30,7 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// Starts and controls the marshal processes.
-pub trait Marshals {
+pub trait ProcessControl {
     /// Starts a marshal. `config`: its config, as HCL.
     ///
     /// # Errors
@@ -39,9 +39,9 @@
     /// Kills a marshal without notice.
     fn kill(&mut self, marshal: usize);
     /// Suspends (`suspended`) or resumes a marshal.
-    fn stop(&mut self, marshal: usize, suspended: bool);
+    fn set_suspended(&mut self, marshal: usize, suspended: bool);
     /// Asks a marshal to shut down and waits for it; true if it left no RPC unfinished.
-    fn end(&mut self, marshal: usize) -> bool;
+    fn shut_down(&mut self, marshal: usize) -> bool;
 }
 
 /// The progress of a run.
@@ -50,8 +50,8 @@
     /// RPCs begun so far.
     pub asked: u64,
     /// Attempts in flight.
-    pub in_hand: usize,
-    pub standing: Standing,
+    pub attempts_in_flight: usize,
+    pub rollout_status: RolloutStatus,
 }
 
 /// The result of a run.
@@ -59,7 +59,7 @@
     pub report: Report,
     pub phases: Vec<Phase>,
     /// Every state of the rollouts, and when it began.
-    pub course: Vec<(Duration, Standing)>,
+    pub course: Vec<(Duration, RolloutStatus)>,
     /// Votes that were counted.
     pub votes: u64,
     /// By marshal: whether it shut down with no RPC unfinished.
@@ -94,8 +94,8 @@
 ///
 /// # Errors
 /// When a socket cannot be bound, a marshal cannot be started, or the trace cannot be written.
-pub fn play(
-    day: Day, marshals: &mut dyn Marshals, mut trace: Option<Box<dyn Write + Send>>,
+pub fn run(
+    day: Day, marshals: &mut dyn ProcessControl, mut trace: Option<Box<dyn Write + Send>>,
     progress: &mut dyn FnMut(&Progress),
 ) -> io::Result<Outcome> {
     configure_runtime(2);
@@ -130,9 +130,9 @@
         Ok(auditor.finish())
     });
     let node_list = serve(&run, None, answer_list)?;
-    let release_desk = serve(&run, None, answer_controller)?;
+    let rollout_controller = serve(&run, None, answer_controller)?;
     let config = |m: usize| {
-        let at = Addresses { listen: marshal_addrs[m], node_list, release_desk, peers: peers.clone() };
+        let at = Addresses { listen: marshal_addrs[m], node_list, rollout_controller, peers: peers.clone() };
         day.config(m, &at)
     };
     for m in 0..count {
@@ -145,8 +145,8 @@
         for command in commands {
             match command {
                 Command::OpenNode(_) | Command::CloseNode(_) => execute_node_command(&run, command),
-                Command::SuspendMarshal(m) => marshals.stop(m, true),
-                Command::ResumeMarshal(m) => marshals.stop(m, false),
+                Command::SuspendMarshal(m) => marshals.set_suspended(m, true),
+                Command::ResumeMarshal(m) => marshals.set_suspended(m, false),
                 Command::KillMarshal(m) => marshals.kill(m),
                 Command::StartMarshal(m) => marshals.start(m, &config(m))?,
             }
@@ -154,14 +154,14 @@
         for attempt in run.with_env(Environment::due_library_calls) {
             clients.call(&run, attempt);
         }
-        let (next, in_hand, standing) = {
+        let (next, in_hand, rollout_status) = {
             let env = run.env.lock().unwrap();
-            (env.next_attempt(), env.attempts_in_flight(), env.controller.standing)
+            (env.next_attempt(), env.attempts_in_flight(), env.controller.rollout_status)
         };
         if run.now() >= next_report {
             next_report = run.now() + Duration::from_millis(250);
             let asked = run.env.lock().unwrap().phases.iter().map(|p| p.asked).sum();
-            progress(&Progress { now: run.now(), asked, in_hand, standing });
+            progress(&Progress { now: run.now(), asked, attempts_in_flight: in_hand, rollout_status });
         }
         let wait = next.map_or(Duration::MAX, |t| t.saturating_sub(run.now()));
         std::thread::sleep(wait.min(Duration::from_millis(4)));
@@ -171,7 +171,7 @@
     }
     // Close the clients' idle connections first: a marshal waits for them when it shuts down.
     drop(clients);
-    let clean: Vec<bool> = (0..count).map(|m| marshals.end(m)).collect();
+    let clean: Vec<bool> = (0..count).map(|m| marshals.shut_down(m)).collect();
     // The fakes see the marshals' connections close a moment later.
     let open_connections = || -> usize {
         let nodes = run.nodes.lock().unwrap();
