--- a/crates/client/src/coroutine.rs
+++ b/crates/client/src/coroutine.rs
@@ -1,5 +1,5 @@
 //! The runtime for coroutines of `may`: a call blocks its coroutine, not the thread. The application prepares
-//! the `may` runtime (`ivydrift_sockets::coroutine::prepare`).
+//! the `may` runtime (`ivydrift_sockets::coroutine::configure_runtime`).
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/edge/src/clients/client.rs
+++ b/crates/edge/src/clients/client.rs
@@ -70,7 +70,7 @@
     pick: Option<PickId>,
     /// Its connection, once established.
     socket_handle: Option<SocketHandle>,
-    /// The last pick commanded to be cancelled. The command may arrive before that pick has begun.
+    /// The last pick that a command cancelled. The command may arrive before that pick has begun.
     cancelled: Option<PickId>,
 }
 
--- a/crates/marshal/examples/node_list.rs
+++ b/crates/marshal/examples/node_list.rs
@@ -58,13 +58,13 @@
                     tick_time += timer_start.elapsed();
                 }
                 now = at;
-                let (id, left) = (next.into(), Some(Duration::from_secs(1)));
+                let (id, time_left) = (next.into(), Some(Duration::from_secs(1)));
                 let call = Call {
                     method: "calendar-read",
                     tenant: None,
                     key: None,
                     has_idempotency_key: false,
-                    time_left: left,
+                    time_left,
                     is_retry: false,
                 };
                 let timer_start = Instant::now();
--- a/crates/marshal/examples/services.rs
+++ b/crates/marshal/examples/services.rs
@@ -157,13 +157,13 @@
     fn rpc(&mut self, service: usize) {
         self.next += 1;
         let method = format!("s{service}-m{}", self.next as usize % METHODS);
-        let (id, left) = (self.next, Some(Duration::from_secs(1)));
+        let (id, time_left) = (self.next, Some(Duration::from_secs(1)));
         let call = Call {
             method: &method,
             tenant: None,
             key: None,
             has_idempotency_key: false,
-            time_left: left,
+            time_left,
             is_retry: false,
         };
         self.feed(service as u64 + 1, Input::Rpc { id, call });
--- a/crates/marshal/src/directory.rs
+++ b/crates/marshal/src/directory.rs
@@ -56,7 +56,7 @@
     reuse_delay: Duration,
     /// Start time of each listed node.
     starts: HashMap<SocketAddr, ReportedStart>,
-    /// Draining and removed nodes with the time that was reported, kept for `rest`.
+    /// Draining and removed nodes with the time that was reported, kept for `reuse_delay`.
     withdrawn: HashMap<SocketAddr, Duration>,
     /// Indices whose nodes have gone, with the time.
     gone: VecDeque<(Duration, NodeIx)>,
@@ -127,9 +127,9 @@
     }
 
     /// The complete node events for a policy that has been told nothing yet, with the given scope.
-    pub fn snapshot(&self, scope: ListUpdate) -> Vec<Event> {
+    pub fn snapshot(&self, update: ListUpdate) -> Vec<Event> {
         let present = self.entries.values().filter(|e| e.readiness != Readiness::Gone);
-        let nodes = Event::Nodes { update: scope, nodes: present.copied().collect() };
+        let nodes = Event::Nodes { update, nodes: present.copied().collect() };
         let coverage =
             (self.coverage != ListCoverage::default()).then_some(Event::ListCoverage(self.coverage));
         coverage.into_iter().chain([nodes]).collect()
@@ -237,7 +237,7 @@
     }
 
     /// Recomputes the subset after changes of the marshal's RPC rate, of the dead marshals or of the config.
-    /// Returns the events for the policy, in a scope that does not count as an answer of discovery.
+    /// Returns the events for the policy, in an update that does not count as an answer of discovery.
     pub fn refresh_subset(
         &mut self, now: Duration, taken: u64, dead: impl FnOnce() -> Vec<usize>,
     ) -> Vec<Event> {
@@ -251,10 +251,10 @@
         events
     }
 
-    /// Produces the events for the nodes that the policy is to know. `scope`: where they come from.
+    /// Produces the events for the nodes that the policy is to know. `update`: where they come from.
     /// `previous`: the previous list.
     fn emit_changes(
-        &mut self, now: Duration, scope: ListUpdate, previous: &HashMap<SocketAddr, usize>,
+        &mut self, now: Duration, update: ListUpdate, previous: &HashMap<SocketAddr, usize>,
     ) -> Vec<Event> {
         let (index, entries) = (&self.index, &self.entries);
         let is_known = |addr: &SocketAddr| {
@@ -294,7 +294,7 @@
         if std::mem::replace(&mut self.coverage, coverage) != coverage {
             events.push(Event::ListCoverage(coverage));
         }
-        events.push(Event::Nodes { update: scope, nodes });
+        events.push(Event::Nodes { update, nodes });
         events
     }
 
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -237,9 +237,9 @@
                     .as_ref()
                     .is_some_and(|pending| now >= pending.since + CONTROLLER_TIMEOUT)
                 {
-                    let (course, reply) = (RolloutState::Released, VoteReply::Unsolicited);
+                    let (state, reply) = (RolloutState::Released, VoteReply::Unsolicited);
                     let (build, stage, age) = (self.directory.oldest_build(), 0, Duration::ZERO);
-                    events.push(Event::Stage { build, stage, state: course, reply, cap: 1.0, age });
+                    events.push(Event::Stage { build, stage, state, reply, cap: 1.0, age });
                     events.extend(self.pending_nodes.take().into_iter().flat_map(|pending| pending.events));
                     self.controller_heard = true;
                     let line = "no message from the rollout controller; treating the oldest listed build as released";
@@ -298,8 +298,8 @@
         let at_most_once = config.repeat == Repeat::NonIdempotent;
         let rpc = self.rpcs.add(id, now + left + POLICY_GRACE.min(deadline_margin / 2), at_most_once);
         self.counts.rpcs += 1;
-        let (key, repeated) = (call.key, call.is_retry);
-        events.push(Event::Rpc { rpc, method, tenant, key, time_left: left, work: None, is_retry: repeated });
+        let (key, is_retry) = (call.key, call.is_retry);
+        events.push(Event::Rpc { rpc, method, tenant, key, time_left: left, work: None, is_retry });
     }
 
     fn end_pick(
--- a/crates/marshal/src/services/send_check.rs
+++ b/crates/marshal/src/services/send_check.rs
@@ -7,7 +7,7 @@
 use crate::{Core, Id, Withheld};
 
 impl Services {
-    /// See [`Core::read_wall_clock`], for every service.
+    /// See [`Core::set_wall_clock`], for every service.
     pub fn set_wall_clock(&mut self, epoch_ms: u64) {
         self.epoch_ms = epoch_ms;
         self.primary.set_wall_clock(epoch_ms);
--- a/crates/measure/src/scale/core_harness.rs
+++ b/crates/measure/src/scale/core_harness.rs
@@ -192,13 +192,13 @@
                 self.usage.rpc_cpu += self.handle(Input::PickEnded { id, pick, observation }).0;
             } else {
                 let RpcSpec { method, tenant } = next_rpc(self.usage.rpcs);
-                let left = Some(Duration::from_secs(3));
+                let time_left = Some(Duration::from_secs(3));
                 let call = Call {
                     method,
                     tenant,
                     key: None,
                     has_idempotency_key: false,
-                    time_left: left,
+                    time_left,
                     is_retry: false,
                 };
                 self.id += 1;
--- a/crates/measure/src/scale/hollow/marshal.rs
+++ b/crates/measure/src/scale/hollow/marshal.rs
@@ -262,13 +262,13 @@
                 let id = (self.rpcs << 1) + 2;
                 self.rpcs += 1;
                 let method = script.method_name(n);
-                let left = Some(Duration::from_secs(3));
+                let time_left = Some(Duration::from_secs(3));
                 let call = Call {
                     method: &method,
                     tenant: None,
                     key: None,
                     has_idempotency_key: false,
-                    time_left: left,
+                    time_left,
                     is_retry: false,
                 };
                 let took = self.handle_input(now, Input::Rpc { id, call }, script, effects);
--- a/crates/measure/src/scale/policy_fleet.rs
+++ b/crates/measure/src/scale/policy_fleet.rs
@@ -235,8 +235,8 @@
                 Action::Vote { verdict, .. } => self.observed.votes.push((self.now, module, verdict)),
                 Action::Subscribe(true) | Action::FetchList => {
                     self.observed.list_requests.push(self.now);
-                    let scope = if self.list_up { ListUpdate::Delta } else { ListUpdate::Failed };
-                    self.deliver(module, vec![Event::Nodes { update: scope, nodes: vec![] }]);
+                    let update = if self.list_up { ListUpdate::Delta } else { ListUpdate::Failed };
+                    self.deliver(module, vec![Event::Nodes { update, nodes: vec![] }]);
                 }
                 _ => {}
             }
--- a/crates/platform/src/rpc.rs
+++ b/crates/platform/src/rpc.rs
@@ -59,7 +59,7 @@
 /// Returns the HTTP status and reason for a head that does not follow the platform's protocol. Such a request must not
 /// be forwarded to a node.
 pub fn validate_request<'a>(request: &'a Request, safe: Option<bool>) -> Result<RpcHead<'a>, ParseError> {
-    let refuse = |status, why| Err(ParseError { status, reason: why });
+    let refuse = |status, reason| Err(ParseError { status, reason });
     let single_value = |name| {
         let mut values = request.fields.values(name);
         values.next().filter(|_| values.next().is_none()).and_then(|v| std::str::from_utf8(v).ok())
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -70,10 +70,11 @@
     if !top["known"].is_null() {
         catalog.apply(&top["known"].to_string()).map_err(|error| format!("{file}: known: {error}"))?;
     }
-    let news = match &top["pipeline"]["news"] {
+    let rollout_stage = match &top["pipeline"]["news"] {
         Value::Null => None,
-        news => Some(
-            controller::stage_from_json(news).map_err(|error| format!("{file}: pipeline.news: {error}"))?,
+        rollout_stage => Some(
+            controller::stage_from_json(rollout_stage)
+                .map_err(|error| format!("{file}: pipeline.news: {error}"))?,
         ),
     };
     let StartSettings { mut rollout, methods, tenants, zones, kinds, connect_timeout, .. } = settings;
@@ -87,7 +88,7 @@
     let regions = vec![0; zones.len()];
     let (methods, tenants) = (methods.iter().collect(), tenants.iter().collect());
     // The platform has a single service, so methods name none.
-    let (serves, services) = (vec![], Default::default());
+    let (method_services, services) = (vec![], Default::default());
     // All nodes of the list are used.
     let subset = None;
     let config = Config {
@@ -96,12 +97,12 @@
         subset,
         rollout,
         methods,
-        method_services: serves,
+        method_services,
         services,
         tenants,
         zones,
         regions,
         kinds,
     };
-    Ok(PlatformConfig { config, catalog, rollout_stage: news })
+    Ok(PlatformConfig { config, catalog, rollout_stage })
 }
--- a/crates/policy/src/state/stats_table.rs
+++ b/crates/policy/src/state/stats_table.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The observed methods in ascending order, each with a slot. A slot is assigned at first coverage and never
+/// The observed methods in ascending order, each with a slot. A slot is assigned at first sight and never
 /// changes, so that records survive a new config. Methods without traffic have none.
 #[derive(Default)]
 pub struct ObservedMethods(Vec<(usize, usize)>);
--- a/crates/sockets/src/socket.rs
+++ b/crates/sockets/src/socket.rs
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// See [`SocketHandle::left`].
+    /// See [`SocketHandle::peer_closed`].
     pub fn peer_closed(&self) -> bool {
         self.handle.peer_closed()
     }
@@ -209,7 +209,7 @@
         self.handle.is_idle()
     }
 
-    /// See [`SocketHandle::cut`].
+    /// See [`SocketHandle::shutdown`].
     pub fn shutdown(&self) {
         self.handle.shutdown();
     }
--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -107,9 +107,9 @@
 mod tests {
     use super::*;
 
-    fn fault(harm: LinkEffect) -> LinkFault {
+    fn fault(effect: LinkEffect) -> LinkFault {
         let (at, lasts) = (Duration::from_secs(10), Duration::from_secs(20));
-        LinkFault { at, lasts, from: vec![0, 1], to: vec![2], both: false, effect: harm }
+        LinkFault { at, lasts, from: vec![0, 1], to: vec![2], both: false, effect }
     }
 
     fn at(seconds: f64) -> Duration {
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -154,14 +154,14 @@
         for attempt in run.with_env(Environment::due_library_calls) {
             clients.call(&run, attempt);
         }
-        let (next, in_hand, rollout_status) = {
+        let (next, attempts_in_flight, rollout_status) = {
             let env = run.env.lock().unwrap();
             (env.next_attempt(), env.attempts_in_flight(), env.controller.rollout_status)
         };
         if run.now() >= next_report {
             next_report = run.now() + Duration::from_millis(250);
             let asked = run.env.lock().unwrap().phases.iter().map(|p| p.asked).sum();
-            progress(&Progress { now: run.now(), asked, attempts_in_flight: in_hand, rollout_status });
+            progress(&Progress { now: run.now(), asked, attempts_in_flight, rollout_status });
         }
         let wait = next.map_or(Duration::MAX, |t| t.saturating_sub(run.now()));
         std::thread::sleep(wait.min(Duration::from_millis(4)));
--- a/crates/terms/src/services.rs
+++ b/crates/terms/src/services.rs
@@ -51,13 +51,13 @@
     }
     let defaults = ServicesConfig::default();
     top.block("services", |block| {
-        let rest = block.duration("rest", Some(defaults.idle_timeout));
-        if rest < Duration::from_secs(1) && block.has("rest") {
+        let idle_timeout = block.duration("rest", Some(defaults.idle_timeout));
+        if idle_timeout < Duration::from_secs(1) && block.has("rest") {
             block.error(Some("rest"), "rest is under a second: write a duration of \"1s\" or more");
         }
         ServicesConfig {
             max_services: block.integer("most", Some(defaults.max_services as u64), 1..=10_000) as usize,
-            idle_timeout: rest,
+            idle_timeout,
             max_bytes: block.integer("kib", Some(defaults.max_bytes as u64 / 1024), 64..=16 << 20) as usize
                 * 1024,
         }
--- a/crates/wire/src/body_framing.rs
+++ b/crates/wire/src/body_framing.rs
@@ -60,7 +60,7 @@
     /// # Errors
     /// Returns an error for malformed chunks. The end of the body is then unknown and the connection must be closed.
     pub fn step(&mut self, buf: &[u8]) -> Result<Part, ParseError> {
-        let malformed = |why| Err(ParseError { status: 400, reason: why });
+        let malformed = |reason| Err(ParseError { status: 400, reason });
         match self.0 {
             Phase::Ended => Ok(Part::End),
             _ if buf.is_empty() => Ok(Part::Incomplete),
@@ -119,7 +119,7 @@
 
 /// Returns the line at the front of `buf` without its CRLF; none while it is incomplete.
 fn line(buf: &[u8], limit: usize) -> Result<Option<&[u8]>, ParseError> {
-    let malformed = |why| Err(ParseError { status: 400, reason: why });
+    let malformed = |reason| Err(ParseError { status: 400, reason });
     match buf.iter().position(|&b| b == b'\n') {
         Some(0) => malformed("a line ends in LF without CR"),
         Some(end) if buf[end - 1] != b'\r' => malformed("a line ends in LF without CR"),
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -25,8 +25,8 @@
     pub reason: &'static str,
 }
 
-const fn refuse<T>(status: u16, why: &'static str) -> Result<T, ParseError> {
-    Err(ParseError { status, reason: why })
+const fn refuse<T>(status: u16, reason: &'static str) -> Result<T, ParseError> {
+    Err(ParseError { status, reason })
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -19,10 +19,10 @@
     Ok((head, body))
 }
 
-/// Reads a response to any request but HEAD, skipping interim (1xx) responses; otherwise like [`request`].
+/// Reads a response to any request but HEAD, skipping interim (1xx) responses; otherwise like [`read_request`].
 ///
 /// # Errors
-/// As for [`request`]; also `InvalidData` after 8 interim responses.
+/// As for [`read_request`]; also `InvalidData` after 8 interim responses.
 pub fn read_response(
     buf: &mut Vec<u8>, max_body: usize, mut read_more: impl FnMut(&mut Vec<u8>) -> io::Result<bool>,
 ) -> io::Result<(Response, Vec<u8>)> {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -14,7 +14,7 @@
 pub const ROUTING_KEY: &str = "ivydrift-key";
 /// Tenant of the caller.
 pub const TENANT: &str = "ivydrift-tenant";
-/// AnswerKind of the final answer: `ok`, `pushed-back` or `aborted`.
+/// Kind of the final answer: `ok`, `pushed-back` or `aborted`.
 pub const ANSWER: &str = "ivydrift-answer";
 /// Number of picks made for the RPC.
 pub const PICKS: &str = "ivydrift-picks";
@@ -75,7 +75,7 @@
     Some(text.parse().unwrap_or_else(|_| hash())).filter(|&key| key != 0 && !text.is_empty())
 }
 
-/// AnswerKind of a final answer.
+/// Kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     Ok,
