--- a/crates/policy/src/marshal.rs
+++ b/crates/policy/src/marshal.rs
@@ -1,6 +1,6 @@
-//! The event loop of one marshal. The driver creates it with `Marshal::new(&rollout_config)` and calls `handle(now,
-//! events) -> actions` whenever something has happened. The loop delivers messages between the components and
-//! makes no decisions of its own.
+//! The event loop of one marshal. The driver creates it with `Marshal::new(&rollout_config)` and calls
+//! `handle(now, events) -> actions` whenever something has happened. The loop delivers messages between the
+//! components and makes no decisions of its own.
 
 use std::time::Duration;
 
@@ -10,10 +10,15 @@
 
 /// One replica of the balancer: its components and the time of the next tick.
 pub struct Marshal {
+    /// What all components are given.
     ctx: Context,
+    /// Health and load of each node, by node index.
     nodes: Vec<Node>,
+    /// Decides where RPCs are sent.
     dispatcher: Dispatcher,
+    /// Compares the builds, and votes.
     analysis: CanaryAnalysis,
+    /// Decides when to call discovery.
     discovery: DiscoveryClient,
     /// When the next tick is due.
     next_tick: Duration,
@@ -39,8 +44,9 @@
         Marshal { ctx, nodes, dispatcher, analysis, discovery, next_tick }
     }
 
-    /// Applies a new config between two calls of `handle`. Methods and kinds keep their indices, and new ones
-    /// are appended. RPCs in progress, the send history behind the rules, node health and evidence are kept.
+    /// Applies a new config between two calls of `handle`. The caller must keep the indices of methods and
+    /// kinds and append new ones. RPCs in progress, the send history behind the rules, node health and
+    /// evidence are kept.
     pub fn reconfigure(&mut self, rollout_config: &RolloutConfig) {
         self.ctx.config = Config::new(rollout_config);
         self.ctx.lease.configure(&rollout_config.rules);
@@ -67,18 +73,18 @@
         self.ctx.lease.is_valid(now)
     }
 
-    /// Estimated memory in bytes: the total, and the share of each listed node.
+    /// Estimated memory in bytes: the total, and how much of it each listed node takes.
     pub fn memory_bytes(&self) -> (usize, usize) {
         (memory_bytes(&self.nodes, &self.dispatcher, &self.analysis), node_bytes())
     }
 
-    /// Bytes allocated per method: evidence, allocated at the first outcome of a method at a node, and the
-    /// history of sends. A method without RPCs takes none.
+    /// Bytes allocated for what is kept by method, over all methods: evidence, allocated at the first outcome
+    /// of a method at a node, and the history of sends. A method without RPCs takes none.
     pub fn evidence_bytes(&self) -> usize {
         self.analysis.bytes() + self.dispatcher.send_rules.bytes()
     }
 
-    /// Handles all that happened up to `now`, in order, and returns what the driver has to do.
+    /// Handles all that happened up to `now`, in order, and returns what the driver has to do, in order.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.ctx.now = now;
         self.ctx.lease.start(now);
--- a/crates/policy/src/policy/abstention_test.rs
+++ b/crates/policy/src/policy/abstention_test.rs
@@ -1,16 +1,17 @@
-//! The abstention test: finds builds that slow down all nodes.
+//! The abstention test: finds builds that slow down all nodes, those of the older arm too, so that comparing
+//! the arms does not show it.
 
 use super::*;
 
-/// Drop in the part of quick answers that counts as a slowdown.
+/// Drop in the older arm's part of quick answers (0 to 1) that counts as a slowdown.
 const SLOWDOWN_MARGIN: f64 = 0.08;
-/// Rise in the part of quick answers, without the build, that counts as a recovery.
+/// Rise in that part (0 to 1) while the build gets no traffic that counts as a recovery.
 const RECOVERY_MARGIN: f64 = 0.02;
-/// How long the build gets no traffic.
+/// How long the build gets no traffic in a test.
 const ABSTENTION: Duration = ms(4000);
-/// First part of the abstention, which is not counted.
+/// Time at the start of an abstention in which answers are not counted.
 const ABSTENTION_SETTLING: Duration = ms(1500);
-/// How long the older arm is watched once the build's traffic has returned.
+/// How long the older arm is watched for another slowdown once the build's traffic has returned.
 const WATCH_AFTER_ABSTENTION: Duration = ms(5000);
 
 /// Distinguishes a build that slows down all nodes in step with its traffic from other causes. While the
@@ -18,13 +19,14 @@
 /// recovers, and is slowed again when the build's traffic returns, the build is guilty; otherwise it is
 /// cleared for the stage. Costs the delay of the test.
 impl AbstentionTest {
-    /// Records whether an answer of the older arm was quick, by when its pick was sent.
+    /// Adds an answer of the older arm, good if quick, to the tally of the phase in which its pick was sent
+    /// (`at`).
     pub fn record(&mut self, at: Duration, slot: usize, outcome: Tally) {
         let slots = self.with_build.len().max(slot + 1);
         self.with_build.resize(slots, Tally::default());
         self.without_build.resize(slots, Tally::default());
-        // Picks sent before the build's traffic returned, and that are slow, end after it: they are not
-        // counted.
+        // Of the picks sent around the return of the build's traffic, the slow ones end after it, so they
+        // would be over-represented: picks sent before it or shortly after it are not counted.
         match (self.abstaining_since, self.recovered_at) {
             (None, Some(recovered_at)) if at < recovered_at + 5 * EVALUATION_INTERVAL => {}
             (None, _) => self.with_build[slot].add(outcome, 1.0),
@@ -35,8 +37,8 @@
         }
     }
 
-    /// Sums over all methods without the slowest, if there are others: a slowdown of one method alone is not
-    /// a slowdown of the nodes.
+    /// Sums the pairs of all methods (quick answers without and with the build's traffic) except the slowest
+    /// method, if there are others: a slowdown of one method alone is not a slowdown of the nodes.
     pub fn pool(mut pairs: Vec<ArmPair>) -> ArmPair {
         let quick_part = |p: &ArmPair| (p[0].good + p[1].good) / (p[0].count + p[1].count).max(1e-9);
         let has_outcomes = |p: &ArmPair| p[0].count + p[1].count > 0.0;
@@ -47,7 +49,10 @@
         sum
     }
 
-    /// Advances the test. Returns whether the build is held for a slowdown, and whether it is guilty of it.
+    /// Advances the test by the pooled quick answers of the older arm without and with the build's traffic.
+    /// `nodes`: number of the build's nodes; `testable`: an abstention would be conclusive now; `nodes_lost`:
+    /// too few of the fleet's nodes are ready to blame the build. Returns whether the build is held for a
+    /// slowdown, and whether it is guilty of it.
     pub fn advance(
         &mut self, now: Duration, trial: (Build, usize), nodes: usize, [testable, nodes_lost]: [bool; 2],
         [without, with]: ArmPair,
@@ -55,7 +60,7 @@
         let quick = Tally { count: 1000.0, good: 1000.0 * QUICK_PART };
         let (variance, peer_abstains) =
             (QUICK_PART * (1.0 - QUICK_PART), std::mem::take(&mut self.peer_abstains));
-        // Pooled over marshals: one alone may see too little.
+        // `with` and `without` include the counts of peers: one marshal alone may see too little.
         let slowed = is_below(with, quick, SLOWDOWN_MARGIN, 0.5, variance, DELTA);
         if slowed && nodes == 0 {
             self.cleared = Some(trial); // The slowdown came before the build had any node here.
--- a/crates/policy/src/policy/canary_analysis.rs
+++ b/crates/policy/src/policy/canary_analysis.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// Interval at which all records are halved.
+/// Interval at which all records are halved (exponential decay).
 pub const HALVING_INTERVAL: Duration = ms(5000);
 /// Interval at which counts are sent to peers.
 const PEER_COUNTS_INTERVAL: Duration = ms(1000);
 /// Age from which on received counts are ignored.
 const PEER_COUNTS_MAX_AGE: Duration = ms(3200);
-/// A node counts as failing on its own beyond this multiple of its arm's error rate.
+/// A node counts as failing on its own beyond this multiple of its arm's rate of outcomes that are not good.
 const OUTLIER_MULTIPLE: f64 = 2.0;
 
 impl CanaryAnalysis {
@@ -36,8 +36,8 @@
                     let bin = latency_bin(took / soft);
                     stats.latencies[bin] += Tally::one(ok).good;
                     let baseline = self.baseline.get(kind, slot);
-                    // The latency of a failed pick, or of a node on trial, tells nothing about a slowdown of
-                    // the older arm.
+                    // The latency of an error or a corrupt answer, or of a node on trial, tells nothing about
+                    // a slowdown of the older arm.
                     let erred = matches!(outcome, Outcome::Error | Outcome::Malformed);
                     let comparable = entry.build < self.newest && !erred;
                     let quick_bin =
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Starts the trial of a newer build. The record of the previous one becomes the older arm's if that was
-    /// released, and is discarded otherwise.
+    /// Starts the trial of a build if it is newer than all before. The record of the previous build becomes
+    /// the older arm's if that build was released, and is discarded otherwise.
     fn begin_trial(&mut self, build: Build) {
         if build <= self.newest {
             return;
@@ -121,9 +121,11 @@
         self.fleet_size = self.older_nodes(build);
     }
 
-    /// Sums up an arm by kind and method, without the quarter of its nodes that failed most: trouble at a few
-    /// nodes convicts no build. With `few` nodes on trial, they are compared with the older arm's worst
-    /// quarter instead. `past` includes the nodes that are gone. Returns the number of the arm's nodes.
+    /// Sums up the new or the older arm by kind and method. Of the quarter of its nodes that failed most,
+    /// those beyond the rate of the whole arm are left out: trouble at a few nodes must not convict a build.
+    /// `few_on_trial`: only the worst quarter, at least one node, is summed, with which the few nodes on
+    /// trial are compared. `with_past_nodes` includes the outcomes on nodes that are gone. Returns the number
+    /// of the arm's ready nodes.
     fn sum_arm(&mut self, new: bool, with_past_nodes: bool, few_on_trial: bool) -> usize {
         let in_arm = |b: &&NodeRecord| b.ready && (b.entry.build == self.newest) == new;
         let with_misses = |b| (NodeRecord::misses(b), b);
@@ -131,8 +133,8 @@
             self.records.iter().filter(in_arm).map(with_misses).collect();
         let quarter = records.len() / 4;
         records.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.entry.node.cmp(&b.1.entry.node)));
-        // A node's errors are its own only beyond the rate of its whole arm: those of a single node in an
-        // arm, or of bad RPCs, are not.
+        // A node's errors are its own only beyond the rate of its whole arm: errors of the only node of an
+        // arm, or errors that bad RPCs cause at every node, are not.
         let mut total = ArmPair::default();
         records.iter().for_each(|b| add_pair(&mut total, &b.1.soundness_and_payoff()));
         let within_rate = |own: &Tally, all: &Tally| {
@@ -154,8 +156,8 @@
         records.len()
     }
 
-    /// Whether the newest build is released or runs on nearly the whole fleet, and so is compared with the
-    /// record from before its trial.
+    /// Whether the newest build is released or runs on more than 4/5 of the ready nodes, and so is compared
+    /// with the record from before its trial.
     pub fn lacks_older_arm(&self) -> bool {
         let released =
             self.rollout.is_some_and(|n| n.build == self.newest && n.state == RolloutState::Released);
@@ -163,8 +165,10 @@
     }
 
     /// Collects the evidence of this marshal as a pair per question, and the number of nodes on trial. The
-    /// questions are payoff, soundness by method, pace (answers that are quick for the older arm), corrupt
-    /// answers, and slowdown of the older arm by method.
+    /// questions are, in this order, payoff, soundness by method, pace (the part of answers that are quick by
+    /// the older arm's latencies), corrupt answers, and slowdown of the older arm by method. A slowdown pair
+    /// holds the older arm's answers without and with the build's traffic, all others those of the new and
+    /// older arm.
     fn own_evidence(&mut self, ctx: &Context) -> (Vec<ArmPair>, usize) {
         let (nodes, no_older_arm) = (self.sum_arm(true, false, false), self.lacks_older_arm());
         if !no_older_arm {
@@ -191,7 +195,8 @@
         (pairs, nodes)
     }
 
-    /// Ages the records, tells dispatch which arm comes first, exchanges counts with peers, and votes.
+    /// Decays the records, tells dispatch which arm comes first, sends counts to peers and adds theirs, and
+    /// votes.
     fn evaluate(&mut self, ctx: &mut Context) {
         self.evaluated_at = ctx.now;
 
--- a/crates/policy/src/policy/congestion.rs
+++ b/crates/policy/src/policy/congestion.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-/// An RPC with less time left than its soft deadline is sent with a probability: the square of this multiple
-/// of the part of recent picks that were answered in such time.
+/// An RPC with less time left than its soft deadline is sent with this probability: take the part of recent
+/// picks that were answered within the time left, multiply it by this constant, and square the product.
 const SHORT_SEND_MULTIPLE: f64 = 2.0;
-/// Least probability of that, or nothing would be learned.
+/// Least such probability: if none were sent, nothing would be learned.
 const MIN_SHORT_SEND_PROBABILITY: f64 = 0.05;
-/// The fleet is congested when even the quickest answers, this part of recent ones, are slow: queues delay
-/// all alike; far zones and failing nodes delay only some.
+/// The fleet is congested when fewer than this part of recent answers are not slow: queues delay all answers
+/// alike, while far zones and failing nodes delay only some.
 const CONGESTED_PART: f64 = 0.25;
-/// An answer is slow from this part of its soft deadline on.
+/// An answer is slow if it takes at least this part of its soft deadline.
 const SLOW_DEADLINE_PART: f64 = 0.25;
-/// Number of recent answers that are considered.
+/// Approximate number of recent answers that are considered.
 const RECENT_ANSWERS: f64 = 24.0;
-/// The part of recent answers that takes the place of [`CONGESTED_PART`] for clients' repeats.
+/// Replaces [`CONGESTED_PART`] when an RPC is a client's own retry.
 const CONGESTED_PART_FOR_REPEATS: f64 = 0.5;
 /// In the last stage, the earlier build's nodes take traffic for this long after the concurrency limit was
 /// last cut, while a backlog drains.
 const RELIEF_PERIOD: Duration = ms(6000);
-/// Own picks in flight that are always allowed per unit of capacity in this marshal's part of the fleet.
+/// Lower bound of the concurrency limit: picks per unit of capacity in this marshal's part of the fleet.
 const MIN_IN_FLIGHT_PER_POWER: f64 = 2.0;
 
 impl Dispatcher {
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Whether an RPC is not worth a pick now, by the time left as a part of its soft deadline. Guards
+    /// Whether an RPC is not worth a pick now. `left`: its time left as a part of its soft deadline;
+    /// `repeated`: it is a client's own retry, which is charged to the retry budget during congestion. Guards
     /// against clients that give up early and retry at once: during congestion all nodes would work for them
     /// alone. A new RPC with normal time always passes. May reject some RPCs whose method is quicker than the
     /// others.
@@ -67,9 +68,10 @@
         shed || !affordable
     }
 
-    /// Adjusts the concurrency limit, never below this marshal's part of the fleet: with many marshals a
-    /// node's queue grows though each has only one pick there. Guards against overload where time-outs do not
-    /// stop the work.
+    /// Adjusts the concurrency limit by additive increase and multiplicative decrease, at most one cut per
+    /// `took`, the latency of the pick that ended. The limit has a lower bound by this marshal's part of the
+    /// fleet: with many marshals a node's queue grows though each has only one pick there. Guards against
+    /// overload where time-outs do not stop the work.
     pub fn adjust_limit(&mut self, took: Duration, ctx: &mut Context) {
         let congested = self
             .latencies
--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -1,9 +1,9 @@
 //! When to call discovery for the node list, where calls are needed.
 //!
-//! A failed call is retried until discovery itself has answered: only [`ListUpdate::Full`] and [`ListUpdate::Delta`]
-//! are its answers. Updates made by the marshal ([`ListUpdate::Local`], [`ListUpdate::Cached`]) never end the retries.
-//! Where the watch gives signs of life, one that gives none in time counts as failed, whatever its connection
-//! looks like.
+//! A failed call is retried until discovery itself has answered: only [`ListUpdate::Full`] and
+//! [`ListUpdate::Delta`] are its answers. Updates made by the marshal ([`ListUpdate::Local`],
+//! [`ListUpdate::Cached`]) never end the retries. Where the watch gives signs of life, one that gives none in
+//! time counts as failed, whatever its connection looks like.
 //!
 //! Discovery handles calls one after another. If marshals lose their watches together and retry quickly, its
 //! queue grows so long that every call times out before its turn: each still costs a turn, and none is
@@ -21,10 +21,11 @@
 /// 4.25 s.
 const LATER_RETRY_SECS: [f64; 2] = [0.5, 4.0];
 
-/// Where calls are not queued, the first retry is made within this many pauses. The delay is drawn between
-/// half and all of that: marshals that started together were also refused together.
+/// Where calls are not queued, the first retry is made within this many base pauses
+/// (`Config::call_pause_secs`). The delay is drawn between half and all of that: marshals that started
+/// together were also refused together.
 const UNQUEUED_RETRY_PAUSES: f64 = 0.4;
-/// Growth of that delay with each further failure.
+/// Factor by which that delay grows with each further failure.
 const UNQUEUED_RETRY_GROWTH: f64 = 2.0;
 /// Failures in a row up to which that delay grows.
 const MAX_BACKOFF_FAILURES: u32 = 3;
@@ -32,7 +33,7 @@
 /// A watch counts as failed this long after its sign of life was due.
 const SIGN_GRACE: Duration = ms(1000);
 
-/// A call with neither an answer nor a reported failure is repeated after this many pauses.
+/// A call with neither an answer nor a reported failure is repeated after this many base pauses.
 const UNANSWERED_CALL_PAUSES: f64 = 4.0;
 
 impl DiscoveryClient {
@@ -73,8 +74,9 @@
         }
     }
 
-    /// The delay between a failure and the next call. It is shorter where a refusal comes at once and costs
-    /// discovery nothing, as in the simulator, than where calls are queued.
+    /// The delay between a failure and the next call; `pause` is the base pause in seconds. It is shorter
+    /// where a refusal comes at once and costs discovery nothing, as in the simulator, than where calls are
+    /// queued.
     fn retry_delay(&self, pause: f64, ctx: &Context) -> Duration {
         if ctx.lease.is_bounded() {
             return Self::random_delay(
@@ -93,7 +95,7 @@
         !self.call_made && ctx.listed.is_empty()
     }
 
-    /// Discovery has answered.
+    /// Records that discovery has answered.
     fn answered(&mut self) {
         (self.subscribed, self.failures) = (true, 0);
     }
@@ -104,7 +106,7 @@
         Self::limited_delay(least + (most - least) * part, ctx)
     }
 
-    /// A delay, limited to half of the longest allowed time without a call.
+    /// A delay of this many seconds, limited to half of the longest allowed time without a call.
     fn limited_delay(seconds: f64, ctx: &Context) -> Duration {
         secs(seconds).min(ctx.config.max_call_gap / 2)
     }
--- a/crates/policy/src/policy/dispatcher.rs
+++ b/crates/policy/src/policy/dispatcher.rs
@@ -4,13 +4,15 @@
 
 /// Seconds over which the rate of ok answers is averaged.
 const OK_RATE_WINDOW_SECS: f64 = 3.0;
-/// An RPC that gets an error from this many nodes is itself at fault; the repeat that showed it is free.
+/// An RPC is itself at fault once this many of its picks were answered with an error. The repeat that showed
+/// it is credited back to the retry budget.
 const BAD_RPC_ERRORS: usize = 2;
 /// The recorded keys of the one-way rule are dropped beyond this number, once no earlier node is left.
 const MAX_RECORDED_KEYS: usize = 1 << 20;
-/// Seconds by which an RPC of mean utility is moved ahead in the waiting order.
+/// Seconds by which an RPC of mean utility is moved ahead in the waiting order; others in proportion to their
+/// utility.
 const UTILITY_HEAD_START_SECS: f64 = 0.2;
-/// A waiting RPC is given up this many usual latencies before its soft deadline.
+/// A waiting RPC is given up this many mean latencies of its method before its soft deadline.
 const GIVE_UP_LATENCIES: f64 = 1.5;
 
 impl Dispatcher {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Gives up waiting RPCs without time left, and tries to send those that come first.
+    /// Rejects waiting RPCs without enough time left, and tries to send the first three of the others.
     fn send_waiting(&mut self, ctx: &mut Context) {
         // With an expired node list nothing is sent: waiting RPCs are refused at once.
         let list_expired = !ctx.lease.is_valid(ctx.now);
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Answers an RPC without an answer of a node: pushed back if a client may safely retry, otherwise
-    /// aborted.
+    /// Gives an RPC its final answer in place of a node's: pushed back if a client may safely retry,
+    /// otherwise aborted.
     fn reject(&mut self, rpc: RpcIx, ctx: &mut Context) {
         let Some(state) = self.rpcs.get(&rpc) else { return };
         let wait = secs(2.0 * self.method_latency[state.method]);
@@ -188,8 +190,10 @@
         self.remove(rpc);
     }
 
-    /// Repeats an RPC after a failed pick, if there is time. Repeats of picks that may have been executed
-    /// draw on the retry budget, so that failing nodes or an overload do not cause a retry storm.
+    /// Sends an RPC again after a failed pick if time, rules and retry budget allow it, and rejects it
+    /// otherwise. `never_ran`: the failed pick was not executed, so the repeat is free. Repeats of picks that
+    /// may have been executed draw on the retry budget, so that failing nodes or an overload do not cause a
+    /// retry storm.
     fn retry(&mut self, rpc: RpcIx, never_ran: bool, ctx: &mut Context) {
         let (state, cost) = (&self.rpcs[&rpc], if never_ran { 0.0 } else { 1.0 });
         let rpc_at_fault = state.picks.iter().filter(|p| p.erred).count() >= BAD_RPC_ERRORS;
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -34,9 +34,9 @@
         self.rollout_config.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// Called with each event; the first one starts the lease as expired. How long the process was away, and
-    /// what changed meanwhile, is unknown, so a list from before the start must be confirmed by discovery
-    /// first.
+    /// Called at each call of `handle`; the first one starts the lease as expired. How long the process was
+    /// away, and what changed meanwhile, is unknown, so a list from before the start must be confirmed by
+    /// discovery first.
     pub fn start(&mut self, now: Duration) {
         if self.is_bounded() && self.valid_until.is_none() {
             self.valid_until = Some(now);
@@ -81,8 +81,8 @@
         });
     }
 
-    /// End of a lease on a list known at `from`, when changes count as delivered after
-    /// `delivery`.
+    /// End of the lease on a list that was complete at `from`, where changes count as delivered after
+    /// `delivery`: that, the drain grace, and less the safety margin.
     fn expiry(&self, from: Duration, delivery: Duration) -> Duration {
         (from + delivery + self.drain_grace).saturating_sub(LEASE_MARGIN)
     }
--- a/crates/policy/src/policy/node.rs
+++ b/crates/policy/src/policy/node.rs
@@ -53,9 +53,10 @@
         ctx.set_active(self.status.entry.node, !self.picks.is_empty() || self.status.ejected);
     }
 
-    /// Outlier ejection by own outcomes: failures eject the node for growing periods, and then put it on
-    /// probation. Guards against dead, silent and quickly failing nodes; once most nodes are ejected,
-    /// dispatch ignores ejections.
+    /// Outlier ejection by this marshal's own picks: updates the moving averages by an outcome that took
+    /// `took` seconds. Failures eject the node for growing periods, and then put it on probation. Guards
+    /// against dead, silent and quickly failing nodes; once most nodes are ejected, dispatch ignores
+    /// ejections.
     fn learn(&mut self, now: Duration, outcome: Outcome, took: f64) {
         let failure = match outcome {
             Outcome::Ok => 0.0,
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
-/// Limit of an arm's picks as a multiple of its share of the ready nodes.
+/// Limit of an arm's picks as a multiple of its share of the capacity.
 const MAX_SHARE_MULTIPLE: f64 = 1.1;
-/// Most picks of credit or debt that an arm can have.
+/// Bound on an arm's credit, positive or negative, in picks.
 const MAX_CREDIT_PICKS: f64 = 3.0;
-/// A key's preferred node is used unless the cost of another is below this part of its cost.
+/// A key's preferred node is used unless the cost of the other choice (picks in flight there and this one,
+/// times expected latency) is below this part of its cost.
 const AFFINITY_COST_PART: f64 = 0.75;
 
 impl Dispatcher {
@@ -21,8 +22,9 @@
     }
 
     /// Chooses an arm and a node: the arm of the larger UCB index within its limits, then the other; at first
-    /// without ejected nodes and with care for those on probation. Returns the arm to charge, the credit that
-    /// both arms gain, and the node.
+    /// without ejected nodes, nodes that this RPC has failed at, and nodes on probation that are busy or
+    /// would get a non-idempotent RPC. Returns the arm to charge, the credit that both arms gain, and the
+    /// node; none if no node may be used now.
     fn choose(&self, state: &Rpc, ctx: &Context) -> Option<(usize, [f64; 2], NodeEntry)> {
         let all = self.arms[0].len() + self.arms[1].len();
         // In the last stage, beside the earlier machines, each new node gets the load that it will have after
@@ -99,7 +101,8 @@
         None
     }
 
-    /// Sends the next pick of an RPC if the concurrency limit and the rules allow one now.
+    /// Sends the next pick of an RPC if the concurrency limit and the rules allow one now. Returns whether it
+    /// did.
     pub fn send(&mut self, rpc: RpcIx, ctx: &mut Context) -> bool {
         if self.lists_stale {
             self.rebuild_arms(ctx);
--- a/crates/policy/src/policy/send_rules.rs
+++ b/crates/policy/src/policy/send_rules.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl SendRules {
-    /// Stage and cap if the build is on trial as far as this marshal knows; an unannounced build counts as in
-    /// stage 0.
+    /// Stage and exposure cap of a build that counts as on trial: one that is announced and not released, or
+    /// one that is newer than the announced one, which counts as in stage 0.
     fn trial(&self, ctx: &Context, build: Build) -> Option<(usize, f64)> {
         let rollout = self.rollout?;
         if build > rollout.build {
@@ -14,8 +14,9 @@
             .then_some((rollout.stage, rollout.cap))
     }
 
-    /// Checks all rules for a pick: rule 1 (time left), rule 2 (repeats), rule 3 (drains, announced or deemed
-    /// so), rule 5 (exposure), rule 4 (slow start of cold nodes).
+    /// Whether all rules allow a pick of this RPC at this node: rule 1 (time left), rule 2 (repeats), rule 3
+    /// (no node that is announced as draining, or may be, as the list has expired), rule 5 (exposure), rule 4
+    /// (slow start of cold nodes).
     pub fn allows(&self, ctx: &Context, rpc: &Rpc, status: &NodeStatus) -> bool {
         (status.ready && ctx.now < rpc.deadline && ctx.lease.is_valid(ctx.now))
             && self.may_repeat(ctx, rpc, &status.entry)
--- a/crates/policy/src/policy/statistics.rs
+++ b/crates/policy/src/policy/statistics.rs
@@ -6,7 +6,7 @@
 pub const ALPHA: f64 = 2.0;
 /// Error probability of a confidence interval.
 pub const DELTA: f64 = 0.05;
-/// Least number of outcomes for a comparison.
+/// Least number of outcomes of each arm for a comparison.
 pub const MIN_SAMPLE: f64 = 10.0;
 /// Below this age a node counts for neither arm's payoff.
 pub const YOUNG_AGE: Duration = ms(5000);
@@ -33,9 +33,9 @@
     entry.started.is_some_and(|start| at < start + YOUNG_AGE)
 }
 
-/// Whether arm `a` lies below `b` by more than the margin and the given part of both half-widths. σ²
-/// (`spread`) is the variance that outcomes would have if the new build paid like the older one, plus the
-/// uncertainty of one outcome.
+/// Whether the mean of arm `a` lies below that of `b` by more than the margin and the given part of both
+/// half-widths, at error probability `delta`. σ² (`spread`) is the variance that outcomes would have if the new
+/// build paid like the older one, plus the uncertainty of one outcome.
 pub fn is_below(a: Tally, b: Tally, margin: f64, part: f64, spread: f64, delta: f64) -> bool {
     let eps = |t: Tally| part * confidence_half_width(t.count, (spread + 1.0 / t.count).min(0.25), delta);
     a.count.min(b.count) >= MIN_SAMPLE && a.mean() + eps(a) < b.mean() - eps(b) - margin
--- a/crates/policy/src/policy/vote.rs
+++ b/crates/policy/src/policy/vote.rs
@@ -11,23 +11,25 @@
 const MIN_COUNTED_OUTCOMES: f64 = 30.0;
 /// Longest wait for these outcomes.
 const MAX_PROMOTE_WAIT: Duration = ms(10_000);
-/// How much worse the new arm's payoff must be, by the design.
+/// How much lower the new arm's payoff (0 to 1) must be to count as worse, by the design.
 pub const PAYOFF_MARGIN: f64 = 0.05;
-/// How much worse the new arm's soundness must be.
+/// How much lower the new arm's soundness, or its part of readable answers, must be to count as worse.
 pub const SOUNDNESS_MARGIN: f64 = 0.01;
-/// How much worse the new arm's pace must be.
+/// How much lower the new arm's pace (its part of quick answers) must be to count as worse.
 pub const PACE_MARGIN: f64 = 0.16;
 /// Added to the pace margin where machines are few, divided by the square root of their number.
 pub const PACE_MARGIN_FEW_NODES: f64 = 0.25;
 /// How long evidence must be against a build, so that trouble in the fleet shows first: when unsound; when
-/// failing by the controller's counts of both arms; when late or slow on trial; when late or slow without an
-/// older arm.
+/// failing by the controller's counts of both arms; when late or slow on trial; when failing by those counts,
+/// late or slow without an older arm.
 const EVIDENCE_DURATIONS: [Duration; 4] = [ms(800), ms(1500), ms(3000), ms(15_000)];
-/// The part of the fleet that must be healthy for the abstention test to be conclusive.
+/// The part of the fleet, as it was when the trial began, that must be healthy for the abstention test to be
+/// conclusive.
 const MIN_HEALTHY_PART: f64 = 0.85;
 
 impl CanaryAnalysis {
-    /// Decides on a verdict from the pairs of all questions, and votes if that is due.
+    /// Decides on a verdict from the pairs of all questions, peers' included, and votes if that is due.
+    /// `nodes`: number of nodes on trial.
     pub fn vote(&mut self, mut pairs: Vec<ArmPair>, nodes: usize, ctx: &mut Context) {
         let live = |n: &RolloutStatus| matches!(n.state, RolloutState::Released | RolloutState::OnTrial);
         let Some(rollout) = self.rollout.filter(|n| n.build == self.newest && live(n)) else { return };
--- a/crates/policy/src/port.rs
+++ b/crates/policy/src/port.rs
@@ -1,9 +1,9 @@
 //! The interface of the decision module: the events that it receives and the actions that it requests, in
-//! plain types.
+//! plain types. Numbers without a unit in their comment are counts, indices from 0, or parts from 0 to 1.
 //!
-//! A driver creates one [`crate::Marshal`] from [`RolloutConfig`], then calls `handle(now, events) -> actions`
-//! whenever something has happened. Times are durations since an arbitrary start; nodes and RPCs are small
-//! indices assigned by the driver.
+//! A driver creates one [`crate::Marshal`] from [`RolloutConfig`], then calls `handle(now, events) ->
+//! actions` whenever something has happened. Times are durations since an arbitrary start; nodes and RPCs are
+//! small indices assigned by the driver.
 
 use std::time::Duration;
 
@@ -28,24 +28,28 @@
 /// The nodes that share tokens and so recognize one another's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
+    /// All nodes.
     All,
+    /// The nodes of one zone.
     Zone,
+    /// The nodes of one cell, see [`NodeEntry::cell`].
     Cell,
 }
 
 /// Config of one method.
 #[derive(Clone, Debug)]
 pub struct MethodConfig {
+    /// Whether its RPCs may be executed more than once.
     pub repeat: Repeat,
-    /// An answer within this time earns the full utility.
+    /// An answer within this time after the RPC's arrival earns the full utility.
     pub soft_deadline: Duration,
-    /// The soft deadline is extended by this multiple of the RPC's own work.
+    /// The soft deadline is extended by this multiple of the RPC's own work (see [`Event::Rpc`]).
     pub stretch: f64,
     /// Default and upper bound of the deadline of an RPC.
     pub deadline: Duration,
-    /// Utility of an answer within the soft deadline.
+    /// Utility of an answer within the soft deadline, in a unit common to all methods.
     pub utility: f64,
-    /// Utility of an answer after the soft deadline.
+    /// Utility of an answer after the soft deadline, in the same unit.
     pub late_utility: f64,
     /// Answers are streamed.
     pub streamed: bool,
@@ -72,14 +76,17 @@
 /// Config of rollouts.
 #[derive(Clone, Debug)]
 pub struct ReleaseConfig {
+    /// What advances a rollout.
     pub control: Control,
     /// Votes needed to promote.
     pub promote_votes: usize,
     /// Votes needed to roll back.
     pub rollback_votes: usize,
-    /// Share of the fleet's places that run the new build, by stage.
+    /// Share of the fleet's places (the node slots that a build can occupy) that run the new build, by stage,
+    /// from 0 to 1.
     pub shares: Vec<f64>,
-    /// Exposure cap by stage: the part of the RPCs that the build on trial may get.
+    /// Exposure cap by stage: the part of the received RPCs that may be sent to the build on trial, from 0 to
+    /// 1.
     pub exposure_caps: Vec<f64>,
     /// The window over which exposure is counted.
     pub exposure_window: Duration,
@@ -89,7 +96,8 @@
     pub exposure_by_method: bool,
     /// In stages below this one, only idempotent methods may be sent to the build on trial.
     pub guarded_stages: usize,
-    /// A key that the new build has answered is never sent to an earlier build.
+    /// A key that the new build has answered is not sent to an earlier build, unless the new build is rolled
+    /// back.
     pub one_way: bool,
     /// Each node of the earlier build drains once its replacement runs.
     pub in_place: bool,
@@ -101,7 +109,7 @@
     pub vote_wait: Duration,
     /// Votes per second that the platform accepts from all marshals together.
     pub vote_rate: f64,
-    /// Share of the wrong answers that clients report.
+    /// Share of the wrong answers that clients report, from 0 to 1.
     pub flag_share: f64,
 }
 
@@ -110,11 +118,12 @@
 pub struct RuleConfig {
     /// How long a node may still be sent to after it was announced as draining.
     pub drain_grace: Duration,
-    /// Part of its capacity that a node has right after its start.
+    /// Part of its full capacity that a node has right after its start, from 0 to 1.
     pub cold_start_part: f64,
     /// Time from a node's start to full capacity.
     pub warm_up: Duration,
-    /// Slow-start budget, as a multiple of the RPCs that a cold node is expected to answer in `slow_start_window`.
+    /// Slow-start budget, as a multiple of the RPCs that a cold node is expected to answer in
+    /// `slow_start_window`.
     pub slow_start_multiple: f64,
     /// The window over which the slow-start budget is counted.
     pub slow_start_window: Duration,
@@ -139,7 +148,7 @@
 pub struct LimitConfig {
     /// Maximum picks per RPC.
     pub max_picks: usize,
-    /// An RPC may have more than one pick in flight.
+    /// An RPC may have more than one pick in flight (hedged requests).
     pub hedging: bool,
     /// Picks can be cancelled.
     pub cancel: bool,
@@ -149,7 +158,7 @@
     pub peers: bool,
     /// Idle connections are closed after this time.
     pub idle_timeout: Duration,
-    /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
+    /// Upper bound of the retry-after time in a push-back; none where clients are not told such a time.
     pub retry_after: Option<Duration>,
 }
 
@@ -162,28 +171,36 @@
     pub marshal: usize,
     /// Number of marshals.
     pub marshals: usize,
-    /// The zone in which this marshal runs.
+    /// Index of the zone in which this marshal runs.
     pub zone: usize,
-    /// The marshal must request the node list from discovery.
+    /// The marshal must request the node list from discovery; otherwise the driver delivers it unasked.
     pub polls_discovery: bool,
+    /// By method index.
     pub methods: Vec<MethodConfig>,
+    /// By tenant index.
     pub tenants: Vec<TenantConfig>,
     /// Factor on the utility of answers to a tenant beyond its share.
     pub over_share_utility: f64,
     /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
-    /// Number of node kinds.
+    /// Number of node kinds (machine types).
     pub kinds: usize,
+    /// How new builds are rolled out.
     pub release: ReleaseConfig,
+    /// The rules that every send has to pass.
     pub rules: RuleConfig,
+    /// Limits of this marshal and features of its platform.
     pub limits: LimitConfig,
 }
 
 /// Whether a node accepts new work, as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
+    /// Accepts new work.
     Ready,
+    /// Finishes its work and accepts no more.
     Draining,
+    /// Not listed any more, or never listed.
     #[default]
     Gone,
 }
@@ -191,30 +208,36 @@
 /// A node as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeEntry {
+    /// Its index.
     pub node: NodeIx,
     /// Hash of the node's address, the same at every marshal; it carries no order or location.
     pub address_hash: u64,
-    /// Machine type.
+    /// Index of the machine type.
     pub kind: usize,
-    /// Capacity in relation to other nodes; 0 where unknown.
+    /// Capacity in relation to other nodes, in any common unit; 0 where unknown.
     pub power: f64,
+    /// Index of the cell that it belongs to.
     pub cell: usize,
+    /// Index of the zone that it runs in.
     pub zone: usize,
+    /// Whether it accepts new work.
     pub readiness: Readiness,
     /// When its process started; none means long ago.
     pub started: Option<Duration>,
+    /// The build that it runs.
     pub build: Build,
 }
 
-/// Which part of the nodes the module is told of, where the list is too large for one marshal. Arrays hold
-/// the arm of the earlier builds first.
+/// Which part of the nodes the module is told of, where the list is too large for one marshal. The nodes form
+/// two arms: those of the earlier builds, at index 0 of the arrays, and those of the newest build, at index
+/// 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListCoverage {
     /// The newest build listed; all others belong to the arm of the earlier builds.
     pub newest: Build,
-    /// The part of the arm's ready nodes that this module is told of.
+    /// The part of the arm's ready nodes that this module is told of, from 0 to 1.
     pub listed_part: [f64; 2],
-    /// The part of all marshals that are told of any given node of the arm.
+    /// The part of all marshals that are told of any given node of the arm, from 0 to 1.
     pub marshal_part: [f64; 2],
 }
 
@@ -241,7 +264,7 @@
 pub enum ListUpdate {
     /// A call to discovery failed, or the subscription broke; without entries.
     Failed,
-    /// The complete list from before the start.
+    /// The complete list as stored before the marshal's start; not confirmed by discovery since.
     Cached,
     /// Discovery's answer: the complete list.
     Full,
@@ -255,7 +278,8 @@
 /// What a call revealed about discovery, where the marshal talks to it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoverySignal {
-    /// A complete answer: the list was known in full at `as_of`. The next sign is due within `next_within`.
+    /// A complete answer: the list was known in full at `as_of`. The next sign of life is due within
+    /// `next_within`.
     Confirmed { as_of: Duration, next_within: Duration },
     /// Discovery itself ended an established watch: it is shutting down. The list was known in full until
     /// now.
@@ -273,13 +297,14 @@
 /// How a pick or a probe ended, and whether it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The node answered without an error; executed.
     Ok,
     /// The node answered with an error; may have been executed.
     Error,
     /// The answer could not be read; may have been executed. This does not implicate the build: a fault on
     /// the connection to any node may corrupt an answer.
     Malformed,
-    /// The node refused it unread; not executed.
+    /// The node refused it unread, as it is at its limit; not executed.
     Full,
     /// No answer in time; may have been executed.
     Timeout,
@@ -303,13 +328,17 @@
 /// State of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
+    /// Running on part of the fleet.
     OnTrial,
+    /// Being rolled back.
     GoingBack,
+    /// Promoted to the whole fleet.
     Released,
+    /// Rolled back.
     Withdrawn,
 }
 
-/// The vote outcome that a stage event answers.
+/// What became of this marshal's latest vote, as a stage event reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteReply {
     /// The event answers no vote.
@@ -329,11 +358,11 @@
 /// Load figures that a node reports, where conveyed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// RPCs in progress.
+    /// RPCs accepted and not yet answered.
     pub in_flight: Option<f64>,
     /// RPCs in the queue.
     pub queue: Option<f64>,
-    /// Utilization.
+    /// CPU utilization, from 0 to 1.
     pub cpu_utilization: Option<f64>,
     /// Mean latency in milliseconds.
     pub latency: Option<f64>,
@@ -352,7 +381,9 @@
     Discovery(DiscoverySignal),
     /// Sent before the `Nodes` event that it applies to; never where the module is told of all nodes.
     ListCoverage(ListCoverage),
-    /// An RPC of a client. `time_left`: time until its deadline; `is_retry`: the client itself has sent it before.
+    /// An RPC of a client. `key`: hash of the key that it is about, if any; `time_left`: time until its
+    /// deadline; `work`: the time that its processing takes, where known; `is_retry`: the client
+    /// itself has sent it before.
     Rpc {
         rpc: RpcIx,
         method: usize,
@@ -362,7 +393,8 @@
         work: Option<Duration>,
         is_retry: bool,
     },
-    /// A pick ended. `done`: the RPC has its final answer, by this outcome or an earlier one.
+    /// A pick ended. `pick`: its index among the RPC's picks; `took`: time since it was sent; `done`: the RPC
+    /// has its final answer, by this outcome or an earlier one.
     PickEnded {
         rpc: RpcIx,
         pick: usize,
@@ -372,22 +404,23 @@
         done: bool,
         load: Load,
     },
-    /// The first part of a streamed answer has arrived.
+    /// The first part of a streamed answer has arrived, `took` after the pick was sent.
     StreamBegun { rpc: RpcIx, pick: usize, node: NodeIx, took: Duration },
     /// The client has left; no answer is needed.
     ClientLeft { rpc: RpcIx },
-    /// The state of a rollout, as the rollout controller reports it. `age`: time since the stage was
-    /// launched.
+    /// The state of a rollout, as the rollout controller reports it. `reply`: what became of this marshal's
+    /// vote; `cap`: exposure cap, from 0 to 1; `age`: time since the stage was launched.
     Stage { build: Build, stage: usize, state: RolloutState, reply: VoteReply, cap: f64, age: Duration },
-    /// The platform's counts over a sample of all picks of one past period.
+    /// The platform's counts over a sample of all picks of one past period. `picks`: size of the sample;
+    /// `failed`: how many of them failed; `mean`: their mean latency; `age`: time since the period ended.
     ControllerCounts { build: Build, method: usize, picks: u32, failed: u32, mean: Duration, age: Duration },
-    /// A client reported an answer as wrong.
+    /// A client reported an answer as wrong. `age`: time since that answer.
     Disputed { node: NodeIx, method: usize, age: Duration },
-    /// A probe ended.
+    /// A probe ended, `took` after it was sent.
     Probed { node: NodeIx, outcome: Outcome, took: Duration, load: Load },
-    /// Data from another marshal.
+    /// Data from another marshal, sent there by [`Action::Tell`]. `from`: index of that marshal.
     Peer { from: usize, payload: Vec<u8> },
-    /// A requested wake-up is due.
+    /// A wake-up requested by [`Action::Wake`] is due; `tag` is the one given there.
     Timer { tag: u64 },
 }
 
@@ -408,52 +441,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the RPC to a node and wait for at most `within`.
-    Pick {
-        rpc: RpcIx,
-        node: NodeIx,
-        within: Duration,
-    },
-    /// Answer "pushed back": the client may send the RPC again.
-    PushBack {
-        rpc: RpcIx,
-        retry_after: Option<Duration>,
-    },
+    Pick { rpc: RpcIx, node: NodeIx, within: Duration },
+    /// Answer "pushed back": the client may send the RPC again, after `retry_after` where that is given.
+    PushBack { rpc: RpcIx, retry_after: Option<Duration> },
     /// Answer "aborted": the RPC may have been executed.
-    Abort {
-        rpc: RpcIx,
-    },
-    /// Cancel a pick.
-    Cancel {
-        rpc: RpcIx,
-        pick: usize,
-    },
-    /// Call `handle` again after this time.
-    Wake {
-        after: Duration,
-        tag: u64,
-    },
+    Abort { rpc: RpcIx },
+    /// Cancel a pick, by its index among the RPC's picks.
+    Cancel { rpc: RpcIx, pick: usize },
+    /// Call `handle` again after this time, with an [`Event::Timer`] of this tag.
+    Wake { after: Duration, tag: u64 },
     /// Probe a node.
-    Probe {
-        node: NodeIx,
-    },
+    Probe { node: NodeIx },
     /// Close idle connections to a node.
-    CloseIdle {
-        node: NodeIx,
-    },
+    CloseIdle { node: NodeIx },
     /// Send data to one marshal, or to all others where `to` is none.
-    Tell {
-        to: Option<usize>,
-        text: Vec<u8>,
-    },
+    Tell { to: Option<usize>, text: Vec<u8> },
+    /// Write a line to the log.
     Log(String),
-    /// Start or end the subscription to the node list.
+    /// Start (true) or end (false) the subscription to the node list.
     Subscribe(bool),
     /// Request the node list once.
     FetchList,
     /// Send a vote to the rollout controller.
-    Vote {
-        verdict: Verdict,
-        stage: usize,
-        build: Build,
-    },
+    Vote { verdict: Verdict, stage: usize, build: Build },
 }
--- a/crates/policy/src/state/canary_analysis.rs
+++ b/crates/policy/src/state/canary_analysis.rs
@@ -4,18 +4,19 @@
 
 use super::*;
 
-/// Evidence on the older arm and the newest build, and the vote that follows from it.
+/// Evidence on the older arm (the nodes of all earlier builds) and on the new arm (those of the newest
+/// build), and the vote that follows from it.
 #[derive(Default)]
 pub struct CanaryAnalysis {
     /// By node index.
     pub records: Vec<NodeRecord>,
-    /// Which part of all nodes these are.
+    /// Which part of all nodes `records` covers.
     pub coverage: ListCoverage,
-    /// Outcomes of older builds on nodes that are gone, by kind and method.
+    /// Outcomes of older builds on nodes that are no longer ready or have restarted, by kind and method.
     pub past_nodes: StatsTable,
     /// Outcomes of the earlier build before the present trial.
     pub baseline: StatsTable,
-    /// The older arm and the newest build, as last summed up.
+    /// Sums over the older arm and the new arm, as last computed.
     pub arms: [ArmStats; 2],
     /// The methods that have had traffic.
     pub observed: ObservedMethods,
@@ -25,29 +26,32 @@
     pub fleet_size: f64,
     /// The rollout as the controller last reported it.
     pub rollout: Option<RolloutStatus>,
-    /// Latest counts of peers, by level and place in the ring: time of arrival, build, and a pair per
-    /// question.
+    /// Latest counts of peers, by level and place in the ring: time of arrival, build, and a pair of tallies
+    /// per question (a comparison of the arms, see `question_count`).
     pub peer_counts: BTreeMap<(u32, usize), (Duration, Build, Vec<ArmPair>)>,
-    /// Number of marshals in a ring.
+    /// Number of marshals in a ring: those that exchange counts directly with one another at one level.
     pub ring_size: usize,
-    /// Number of levels of rings.
+    /// Number of levels of nested rings, see [`ring_layout`].
     pub levels: u32,
     /// Number of configured methods.
     pub method_count: usize,
-    /// Outcomes that the rollout controller has counted over all marshals.
+    /// Outcomes that the rollout controller has counted over all marshals: of the newest build, of older
+    /// builds.
     pub controller_counts: ArmPair,
     /// The last vote (verdict, stage, build), when it was sent, and the reply.
     pub last_vote: Option<((Verdict, usize, Build), Duration, VoteReply)>,
+    /// The test for a build that slows down all nodes.
     pub abstention: AbstentionTest,
-    /// Since when the evidence has been against the build.
+    /// Since when the evidence has been against the build; none while it is not.
     pub guilty_since: Option<Duration>,
-    /// When the earlier build's nodes last began to take traffic in the last stage.
+    /// When congestion in the last stage last made the earlier build's nodes take traffic again.
     pub relieved_at: Duration,
     /// When a node last appeared or disappeared.
     pub nodes_changed_at: Duration,
     /// When the list last named another machine of the newest build.
     pub last_machine_at: Duration,
-    /// Outcomes of the newest build that the rollout controller has counted since then.
+    /// Outcomes of the newest build that the rollout controller has counted in periods that ended since
+    /// `last_machine_at`.
     pub counted_outcomes: f64,
     /// When all records were last halved.
     pub halved_at: Duration,
@@ -62,7 +66,7 @@
 }
 
 impl CanaryAnalysis {
-    /// Adopts the present methods, kinds and rings; known methods keep their records.
+    /// Applies a config and its ring layout. Known methods keep their records.
     pub fn configure(&mut self, config: &Config, (ring_size, levels): (usize, u32)) {
         [&mut self.past_nodes, &mut self.baseline]
             .into_iter()
@@ -71,7 +75,8 @@
         self.peer_counts.clear(); // Peers may have other methods, or other places in the rings.
     }
 
-    /// Takes over a node's status. The record of a process that has ended is cleared.
+    /// Stores a node's status. The record of a node that has restarted or is not ready is cleared; for an
+    /// older build it is first added to `past_nodes`.
     pub fn update_node(&mut self, status: &NodeStatus, ctx: &Context) {
         if self.records.len() <= status.entry.node {
             self.records.resize_with(status.entry.node + 1, NodeRecord::default);
@@ -102,8 +107,10 @@
         record.entry.kind = kind;
     }
 
-    /// The sender's place in this marshal's ring of a level. Only a sender a whole number of spans before
-    /// this marshal reports sums that no other member of the ring covers; all others give none.
+    /// The place of a sender in this marshal's ring of a level, from 1. A level's span is the number of
+    /// marshals that each of its senders sums over. Only a sender that precedes this marshal by a whole
+    /// number of spans, less than the ring's size, sends sums that no other member of the ring covers; for
+    /// any other sender the result is none.
     pub fn ring_place(&self, from: usize, level: u32, config: &Config) -> Option<usize> {
         let distance = (config.marshal + config.marshal_count).checked_sub(from)? % config.marshal_count;
         let span = self.ring_size.pow(level.min(self.levels));
@@ -121,8 +128,8 @@
         self.controller_counts.iter_mut().for_each(|t| t.add(*t, -0.5));
     }
 
-    /// Extrapolates the number of listed nodes from these: each stands for those of its arm that this marshal
-    /// is not told of.
+    /// Estimates how many nodes of the whole fleet these records stand for: each also counts for the nodes of
+    /// its arm that this marshal is not told of.
     fn extrapolated_count<'a>(&self, records: impl Iterator<Item = &'a NodeRecord>) -> f64 {
         records.map(|b| 1.0 / self.coverage.listed_part(b.entry.build)).sum()
     }
@@ -141,8 +148,8 @@
         self.peer_counts.insert(place, counts);
     }
 
-    /// Number of questions over all configured methods: payoff, pace and corrupt answers, and by method
-    /// soundness and slowdown.
+    /// Number of questions over all configured methods. A question compares the two arms in one respect:
+    /// payoff, pace and corrupt answers overall, and soundness and slowdown for each method.
     fn question_count(&self) -> usize {
         2 * self.method_count + 3
     }
@@ -172,8 +179,8 @@
         }
     }
 
-    /// Converts the index of a question in the vote, over observed methods, to its index over all configured
-    /// methods.
+    /// Converts the index of a question in the vote, where payoff is left out at the front and only observed
+    /// methods count, to its index over all configured methods.
     pub fn question_number(&self, index: usize) -> usize {
         self.observed
             .question_indices(self.method_count)
@@ -203,7 +210,7 @@
         self.extrapolated_count(self.records.iter().filter(|b| b.ready && b.entry.build < build))
     }
 
-    /// Number of nodes that are ready and healthy.
+    /// Number of nodes that are ready, and neither ejected nor on probation.
     pub fn healthy_nodes(&self) -> f64 {
         self.extrapolated_count(self.records.iter().filter(|b| b.ready && !b.failing))
     }
@@ -213,20 +220,21 @@
 /// are indexed by the slot of an observed method.
 #[derive(Default)]
 pub struct AbstentionTest {
-    /// Quick answers of the older arm while the new build gets traffic.
+    /// Answers of the older arm while the new build gets traffic; the quick ones count as good.
     pub with_build: Vec<Tally>,
-    /// Quick answers of the older arm while the new build gets none.
+    /// Answers of the older arm while the new build gets none; the quick ones count as good.
     pub without_build: Vec<Tally>,
-    /// Since when this marshal has sent nothing to the new build.
+    /// Since when this marshal has sent nothing to the new build; none outside an abstention.
     pub abstaining_since: Option<Duration>,
     /// A peer has begun to abstain.
     pub peer_abstains: bool,
-    /// When the older arm had recovered without the build, and traffic was restored.
+    /// When an abstention ended in which the older arm had recovered, and the build's traffic was restored;
+    /// none if the last one showed no recovery.
     pub recovered_at: Option<Duration>,
     /// The build and stage that the test has cleared.
     pub cleared: Option<(Build, usize)>,
     /// The build and stage under test.
     pub tested: Option<(Build, usize)>,
-    /// The older arm's part of quick answers before the abstention.
+    /// The part of the older arm's answers that were quick before the abstention.
     pub earlier_mean: f64,
 }
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -10,24 +10,26 @@
     pub methods: Vec<MethodParams>,
     /// The shortest soft deadline of all methods, in seconds.
     pub min_soft_secs: f64,
+    /// Limits on the traffic of a build on trial.
     pub exposure: ExposureParams,
     /// Maximum picks per RPC.
     pub most_picks: usize,
     /// An RPC may have more than one pick in flight.
     pub second_copies: bool,
-    /// Upper bound of the retry-after time in a push-back; none where it is not conveyed.
+    /// Upper bound of the retry-after time in a push-back; none where clients are not told such a time.
     pub retry_after: Option<Duration>,
-    /// Part of its capacity that a node has right after its start.
+    /// Part of its full capacity that a node has right after its start, from 0 to 1.
     pub cold_start_part: f64,
     /// Time from a node's start to full capacity.
     pub warm_up: Duration,
     /// The window over which the slow-start budget is counted.
     pub slow_start_window: Duration,
-    /// Slow-start budget of a window, in seconds of the node's expected rate of answers.
+    /// Slow-start budget of a window in seconds: times the node's expected answers per second, it gives the
+    /// budget in picks.
     pub slow_start_secs: f64,
     /// Votes, not time, advance a rollout.
     pub by_votes: bool,
-    /// Share of the fleet's places that run the new build, by stage.
+    /// Share of the fleet's node slots that run the new build, by stage, from 0 to 1.
     pub shares: Vec<f64>,
     /// How long a vote counts.
     pub vote_life: Duration,
@@ -38,30 +40,30 @@
     pub vote_gap_secs: f64,
     /// Votes needed to promote.
     pub promote_votes: f64,
-    /// The most votes that can count at the same time: the rollout controller takes a burst of twice its
-    /// rate.
+    /// The most votes that can count at the same time: those that the rollout controller accepts within the
+    /// life of a vote, and a burst of twice its rate per second.
     pub max_counted_votes: f64,
-    /// The part of all marshals whose votes suffice to roll a build back.
+    /// The part of all marshals whose votes suffice to roll a build back, above 0.
     pub rollback_part: f64,
     /// Marshals can send data to one another.
     pub peers: bool,
-    /// The last stage, during which the earlier build's machines stay until the release; none where nodes are
-    /// replaced in place.
+    /// Index of the last stage, during which the earlier build's machines stay until the release; none where
+    /// nodes are replaced in place.
     pub rehearsal_stage: Option<usize>,
     /// Number of node kinds.
     pub kinds: usize,
     /// A node does less work for a key that it has handled recently.
     pub warm_keys: bool,
-    /// Base pause in seconds between calls to discovery, spread over the marshals; none where discovery needs
-    /// no calls.
+    /// Base pause in seconds between calls to discovery, from 1 to 2 and different at each marshal; none
+    /// where discovery needs no calls.
     pub call_pause_secs: Option<f64>,
     /// The longest time without a call to discovery while there is no subscription.
     pub max_call_gap: Duration,
     /// Seed of all pseudorandom draws.
     pub seed: u64,
-    /// This marshal's index as a part of all, from 0 to 1.
+    /// This marshal's index divided by the number of marshals, from 0 to below 1.
     pub phase: f64,
-    /// Seconds for which an idle connection is kept.
+    /// Seconds after which an idle connection is closed.
     pub idle_kept_secs: f64,
     /// Number of marshals, at least 1.
     pub marshals: f64,
@@ -77,15 +79,15 @@
     pub repeat: Repeat,
     /// Soft deadline in seconds.
     pub soft_secs: f64,
-    /// Utility in relation to the mean of all methods.
+    /// Utility of an answer in time, as a multiple of the mean of all methods.
     pub relative_utility: f64,
-    /// Index of the exposure budget that counts this method.
+    /// Index of the exposure budget that counts this method: its own, or 0 where all methods share one.
     pub exposure_budget: usize,
 }
 
 /// Parameters of the exposure budget of a build on trial.
 pub struct ExposureParams {
-    /// Exposure cap in stage 0.
+    /// Exposure cap in stage 0, from 0 to 1.
     pub first_cap: f64,
     /// The window over which exposure is counted.
     pub window: Duration,
@@ -93,12 +95,13 @@
     pub free: f64,
     /// In stages below this one, only idempotent methods may be sent to the build on trial.
     pub guarded_stages: usize,
-    /// A key that the new build has answered is never sent to an earlier build.
+    /// A key that the new build has answered is not sent to an earlier build, unless the new build is rolled
+    /// back.
     pub one_way: bool,
 }
 
 impl Config {
-    /// Derives the figures from the start config.
+    /// Derives the figures from a marshal's complete config.
     pub fn new(rollout_config: &RolloutConfig) -> Self {
         let (release, rules, limits) =
             (&rollout_config.release, &rollout_config.rules, &rollout_config.limits);
@@ -154,17 +157,19 @@
         }
     }
 
-    /// Whether an RPC of this method may be sent again after an error.
+    /// Whether an RPC of this method may ever be sent again after a pick that may have been executed.
     pub fn repeatable(&self, method: usize) -> bool {
         self.methods[method].repeat != Repeat::NonIdempotent
     }
 
-    /// Whether a node of this age is fully warmed up and no longer bound by a slow-start budget.
+    /// Whether a node of this age has reached full capacity for a whole slow-start window, so that no
+    /// slow-start budget applies to it any more.
     pub fn is_warm(&self, age: Duration) -> bool {
         age >= self.warm_up + self.slow_start_window
     }
 
-    /// The least part of its capacity that a node of this age has, growing linearly while it warms up.
+    /// The part of its full capacity, from 0 to 1, that a node of this age has at least. It grows linearly
+    /// while the node warms up.
     pub fn capacity_part(&self, age: Duration) -> f64 {
         let warmed = age.as_secs_f64() / self.warm_up.as_secs_f64().max(0.001);
         self.cold_start_part + (1.0 - self.cold_start_part) * warmed.min(1.0)
--- a/crates/policy/src/state/dispatcher.rs
+++ b/crates/policy/src/state/dispatcher.rs
@@ -8,11 +8,11 @@
 pub struct Pick {
     /// The node, as listed when the pick was sent.
     pub entry: NodeEntry,
-    /// When the pick was sent.
+    /// When it was sent.
     pub sent_at: Duration,
     /// Still in flight.
     pub in_flight: bool,
-    /// Known not to have been executed.
+    /// Ended, and known not to have been executed.
     pub never_ran: bool,
     /// Answered with an error.
     pub erred: bool,
@@ -21,19 +21,21 @@
 /// An RPC without a final answer.
 #[derive(Default)]
 pub struct Rpc {
+    /// Index of its method.
     pub method: usize,
     /// Hash of the key that the RPC is about, if any.
     pub key: Option<u64>,
-    /// Soft deadline.
+    /// Time until which an answer earns the full utility, at most `deadline`.
     pub soft_deadline: Duration,
-    /// Deadline.
+    /// Time from which on nothing is sent for the RPC any more.
     pub deadline: Duration,
     /// Sort key among waiting RPCs; the smallest is sent first.
     pub rank: Duration,
+    /// Its picks, in the order in which they were sent.
     pub picks: Vec<Pick>,
     /// A streamed answer has begun.
     pub streaming: bool,
-    /// A pick on the build on trial has ended without the final answer.
+    /// A pick on the newest build has ended without the final answer.
     pub tried_newest: bool,
 }
 
@@ -42,16 +44,17 @@
 pub struct Node {
     /// Status as last published to the other components.
     pub status: NodeStatus,
-    /// Picks in flight: RPC, pick, method, time of the send, and the node as listed then.
+    /// Picks in flight: RPC, index among the RPC's picks, method, time of the send, and the node as listed
+    /// then.
     pub picks: Vec<(RpcIx, usize, usize, Duration, NodeEntry)>,
-    /// When the node last answered or failed other than by a timeout.
+    /// When the node last answered or failed other than by a timeout; refusals by a full node do not count.
     pub last_response: Duration,
-    /// Moving average of failures: 0 is healthy; a timeout, an error or a corrupt answer weighs 1, a lost or
-    /// refused connection 3.
+    /// Moving average of outcomes: an ok answer weighs 0, a timeout, an error or a corrupt answer 1, a lost
+    /// or refused connection 3.
     pub failure_score: f64,
     /// Ejections in a row; above 0 the node is on probation.
     pub ejections: u32,
-    /// End of the present ejection.
+    /// End of the present or latest ejection for failures; silence ejects without an end.
     pub ejected_until: Duration,
     /// Moving average of the latency of ok answers, in seconds.
     pub latency_secs: f64,
@@ -68,13 +71,14 @@
     pub sent: BTreeMap<(Build, usize), Times>,
     /// Times of picks, by node, for the slow-start budgets.
     pub sent_by_node: BTreeMap<NodeIx, Times>,
-    /// Ok answers per second and unit of power, averaged.
+    /// Moving average of ok answers to this marshal's picks, per second and unit of power of the whole fleet.
     pub ok_rate_per_power: f64,
-    /// Keys that a build on trial has answered under the one-way rule, with that build.
+    /// Keys that were answered ok under the one-way rule, with the newest build that has answered them.
     pub key_builds: BTreeMap<u64, Build>,
     /// Keys of RPCs whose client left while a pick was in flight, with the build of that pick.
     pub departed_keys: BTreeMap<RpcIx, (u64, Build)>,
-    /// When the budgets were set to fully spent, as earlier sends are unknown.
+    /// When the budgets were set to fully spent because earlier sends were unknown; none if that never
+    /// happened.
     pub spent_at: Option<Duration>,
 }
 
@@ -103,8 +107,8 @@
         }
     }
 
-    /// Unknown earlier sends to a cold node, which count as more than any budget for one window after the
-    /// budgets were set to fully spent.
+    /// Number of sends to a cold node to assume beside the recorded ones: infinite, and so beyond any budget,
+    /// within a slow-start window of the time at which the budgets were set to fully spent; otherwise 0.
     pub fn unknown_sends(&self, ctx: &Context) -> f64 {
         let spent = self.spent_at.is_some_and(|at| ctx.now < at + ctx.config.slow_start_window);
         if spent {
@@ -114,8 +118,9 @@
         }
     }
 
-    /// Counts the picks of a build and the received RPCs, over the methods of one exposure budget, each
-    /// within its own time span. Only methods with recent traffic are visited.
+    /// Returns the number of picks of a build and the number of received RPCs, over the methods of one
+    /// exposure budget, each within its own time span before now. Only methods with recent traffic are
+    /// visited.
     pub fn exposure_use(
         &self, ctx: &Context, build: Build, budget: usize, [sent_span, received_span]: [Duration; 2],
     ) -> [f64; 2] {
@@ -126,7 +131,7 @@
         let used = sent.map(|s| count_recent(Some(s.1), ctx.now, sent_span)).sum();
         [used, received.map(|t| count_recent(Some(t.1), ctx.now, received_span)).sum()]
     }
-    /// Bytes of the send history.
+    /// Bytes allocated for the timestamps of received RPCs and of sends.
     pub fn bytes(&self) -> usize {
         let held =
             |times: &Times| size_of::<(Build, usize, Times)>() + times.capacity() * size_of::<Duration>();
@@ -161,7 +166,7 @@
     pub arms: [Vec<NodeIx>; 2],
     /// The lists and sums over nodes have to be rebuilt.
     pub lists_stale: bool,
-    /// Present capacity of each arm's nodes, a lower bound.
+    /// Lower bound of the present capacity of each arm's nodes, in the unit of [`NodeEntry::power`].
     pub capacity: [f64; 2],
     /// The same for all listed nodes, extrapolated where this marshal is told of a part only.
     pub fleet_capacity: [f64; 2],
@@ -175,21 +180,22 @@
     pub rpcs: BTreeMap<RpcIx, Rpc>,
     /// RPCs that wait to be sent, by rank.
     pub waiting: BTreeSet<(Duration, RpcIx)>,
-    /// Credit in picks of the older arm and of the newest build: each send adds the arms' shares and takes
-    /// one from the arm used.
+    /// Credit in picks of the older arm and of the newest build: each send adds slightly more than each arm's
+    /// share of the capacity to its credit, and takes 1 from the arm charged.
     pub credit: [f64; 2],
     /// The newest build listed or announced.
     pub newest: Build,
-    /// The newest build has the higher UCB index: it is tried first while within its limits.
+    /// The newest build's UCB index is at least that of the older arm: it is tried first while within its
+    /// limits.
     pub new_first: bool,
     /// No traffic goes to the build on trial for now, for the abstention test.
     pub abstaining: bool,
-    /// Fractional count of RPCs to push back during an abstention, where the older arm cannot take the new
-    /// build's part.
+    /// Accumulated number of RPCs to push back during an abstention, where the older arm cannot take the new
+    /// build's part. At 1 the next RPC is pushed back.
     pub withheld: f64,
     /// Retry budget, in picks.
     pub retry_budget: f64,
-    /// Moving average of the latency of ok answers by method, in seconds.
+    /// Moving average of the latency of ok picks by method, in seconds.
     pub method_latency: Vec<f64>,
     /// Ok answers since `rate_updated_at`.
     pub oks: f64,
@@ -197,23 +203,28 @@
     pub rate_updated_at: Duration,
     /// An RPC could not be sent at once since the last update.
     pub blocked: bool,
-    /// Moving average of latency by node kind and zone, in seconds.
+    /// Moving average by node kind and zone of the latency of picks that were answered ok or failed without
+    /// an answer, in seconds.
     pub group_latency: BTreeMap<(usize, usize), f64>,
-    /// Concurrency limit: how many own picks may be in flight.
+    /// Concurrency limit: how many own picks may occupy nodes, see [`Dispatcher::occupied`].
     pub concurrency_limit: f64,
-    /// This marshal's part of the fleet's capacity.
+    /// This marshal's part of the fleet's capacity: an equal part for each marshal, in the unit of
+    /// [`NodeEntry::power`].
     pub fair_capacity: f64,
-    /// Latencies of recent answers in parts of the soft deadline, as a signal of congestion.
+    /// Latencies of recent picks in parts of the soft deadline, as a signal of congestion; without those that
+    /// were cut short early in the soft deadline.
     pub latencies: OutcomeStats,
-    /// Latencies of recent picks of any length, including those cut short.
+    /// The same for all recent picks, including those cut short early.
     pub pick_latencies: OutcomeStats,
-    /// Soft deadlines of abandoned picks, which may still occupy a node's queue until then.
+    /// For each pick that timed out or was cancelled, when its soft deadline, counted from its send, ends:
+    /// until then it may still occupy a node's queue. Not sorted.
     pub abandoned: Times,
     /// When the concurrency limit was last cut.
     pub limit_cut_at: Duration,
-    /// Until then the earlier build's nodes take traffic in the last stage.
+    /// Until then, after congestion, the earlier build's nodes take traffic in the last stage.
     pub relief_until: Duration,
-    /// Decayed count of received RPCs, and the decayed seconds in which they arrived.
+    /// Exponentially decayed number of received RPCs, and of the seconds in which they arrived; their ratio
+    /// is the rate of RPCs.
     pub arrivals: [f64; 2],
     /// Counter for pseudorandom draws.
     pub draws: u64,
@@ -233,8 +244,8 @@
         self.fleet_capacity[1] / (self.fleet_capacity[0] + self.fleet_capacity[1]).max(1e-9)
     }
 
-    /// Own picks that presumably occupy a node: RPCs with a pick in flight, and abandoned picks, each until
-    /// its soft deadline.
+    /// Number of own picks that presumably occupy a node: RPCs with a pick in flight, and abandoned picks,
+    /// each until its soft deadline.
     pub fn occupied(&self, ctx: &Context) -> f64 {
         let occupying = |r: &&Rpc| ctx.now < r.soft_deadline && r.picks.iter().any(|p| p.in_flight);
         let abandoned = self.abandoned.iter().filter(|until| ctx.now < **until);
@@ -249,12 +260,12 @@
         self.send_rules.rollout.as_ref().is_some_and(trial)
     }
 
-    /// Removes an RPC that needs no more answer.
+    /// Removes an RPC that has its final answer or needs none, also from the waiting ones.
     pub fn remove(&mut self, rpc: RpcIx) {
         self.rpcs.remove(&rpc).map(|r| self.waiting.remove(&(r.rank, rpc)));
     }
-    /// Rebuilds the list of ready nodes of each arm, in this marshal's own random order, and their present
-    /// capacity.
+    /// Rebuilds the list of ready nodes of each arm, cold nodes first and otherwise in this marshal's own
+    /// random order, and the sums over these nodes.
     pub fn rebuild_arms(&mut self, ctx: &Context) {
         let ready = |c: &&NodeStatus| c.ready;
         for (arm, list) in self.arms.iter_mut().enumerate() {
--- a/crates/policy/src/state/memory.rs
+++ b/crates/policy/src/state/memory.rs
@@ -4,12 +4,12 @@
 
 use super::*;
 
-/// Overhead in bytes of an entry of a map or set.
+/// Overhead in bytes of each entry of a map or set.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
 /// Messages for which an inbox that was used keeps capacity.
 const INBOX_CAPACITY: usize = 4;
 
-/// Bytes per listed node, used or not.
+/// Estimated bytes per listed node, whether or not it was ever sent to.
 pub fn node_bytes() -> usize {
     let inbox = size_of::<std::collections::VecDeque<Message>>() + INBOX_CAPACITY * size_of::<Message>();
     let listed = size_of::<NodeEntry>() + 2 * ENTRY_OVERHEAD_BYTES;
@@ -22,7 +22,7 @@
         + 2 * size_of::<NodeIx>()
 }
 
-/// Bytes of all state of a marshal.
+/// Estimated bytes of all state of a marshal.
 pub fn memory_bytes(nodes: &[Node], dispatcher: &Dispatcher, analysis: &CanaryAnalysis) -> usize {
     let rules = &dispatcher.send_rules;
     let lists = || rules.received.values().chain(rules.sent.values()).chain(rules.sent_by_node.values());
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -21,39 +21,42 @@
     Event(Event),
     /// To a node: its entry in the node list.
     NodeListed(NodeEntry),
-    /// To a node: a pick was sent to it.
+    /// To a node: a pick was sent to it. `pick`: its index among the RPC's picks.
     PickSent { rpc: RpcIx, pick: usize, method: usize },
     /// From a node: its status has changed.
     NodeStatus(NodeStatus),
-    /// To canary analysis: the error of a first pick sent at `at` was the RPC's own.
+    /// To canary analysis: the RPC itself, not the node or its build, is taken to have caused the error of
+    /// its first pick, sent at `at`, or nothing can show which did.
     ErrorExcused { entry: NodeEntry, method: usize, at: Duration },
     /// To canary analysis: a first pick sent at `at` has ended after `took` seconds.
     PickEnded { entry: NodeEntry, method: usize, at: Duration, outcome: Outcome, took: f64 },
     /// To canary analysis: congestion in the last stage; the earlier build's nodes take traffic again.
     CongestionRelief,
-    /// From canary analysis to dispatch: which arm comes first.
+    /// From canary analysis to dispatch: the newest build, whether it is tried before the older arm, and
+    /// whether it gets no traffic for now.
     ArmOrder { newest: Build, new_first: bool, abstaining: bool },
     /// To dispatch: try to send waiting RPCs.
     SendWaiting,
-    /// The regular tick.
+    /// The regular tick, see [`crate::policy::TICK`].
     Tick,
 }
 
 /// What every component is given: the time, the config, the node list, the inboxes and the actions to
 /// return.
 pub struct Context {
-    /// Time of the present call.
+    /// Time of the present call of `handle`.
     pub now: Duration,
+    /// The config in force.
     pub config: Config,
     /// Each node as last listed.
     pub listed: BTreeMap<NodeIx, NodeEntry>,
-    /// Which part of all nodes that is.
+    /// Which part of all nodes `listed` covers.
     pub coverage: ListCoverage,
     /// Inboxes by component, see [`DISPATCHER`] to [`FIRST_NODE`].
     pub inboxes: Vec<VecDeque<Message>>,
     /// Inboxes that are not empty.
     pub nonempty: BTreeSet<usize>,
-    /// Nodes with picks in flight, or ejected; only these get ticks.
+    /// Nodes that have picks in flight or are ejected; only these get ticks.
     pub active_nodes: BTreeSet<NodeIx>,
     /// Actions to return to the driver.
     pub actions: Vec<Action>,
@@ -62,6 +65,7 @@
 }
 
 impl Context {
+    /// A context without nodes, messages or actions, at time 0.
     pub fn new(config: Config) -> Self {
         let inboxes = (0..FIRST_NODE).map(|_| VecDeque::new()).collect();
         Context {
@@ -76,7 +80,8 @@
             lease: ListLease::default(),
         }
     }
-    /// Removes the next message and names its inbox: nodes first, dispatch last.
+    /// Removes and returns the next message with the index of its inbox: nodes' messages first, dispatch's
+    /// last.
     pub fn next_message(&mut self) -> Option<(usize, Message)> {
         let to = *self.nonempty.last()?;
         let message = self.inboxes[to].pop_front();
@@ -90,7 +95,7 @@
         self.inboxes[to].push_back(message);
         self.nonempty.insert(to);
     }
-    /// Publishes a node's status, to dispatch ahead of all other messages.
+    /// Sends a node's status to canary analysis and to dispatch, there ahead of all other messages.
     pub fn publish(&mut self, status: NodeStatus) {
         self.inboxes[DISPATCHER].push_front(Message::NodeStatus(status));
         self.nonempty.insert(DISPATCHER);
@@ -104,7 +109,7 @@
             self.active_nodes.remove(&node);
         }
     }
-    /// Queues an event for the components that it concerns.
+    /// Records what an event says about the node list, and queues it for the components that it concerns.
     pub fn route(&mut self, event: Event) {
         let to = match &event {
             Event::Nodes { update, nodes } => {
@@ -143,7 +148,7 @@
         };
         self.post(to, Message::Event(event));
     }
-    /// Time since the node's process started; a node without a start time is old.
+    /// Time since the node's process started; [`Duration::MAX`] for a node without a start time.
     pub fn age(&self, entry: &NodeEntry) -> Duration {
         entry.started.map_or(Duration::MAX, |at| self.now.saturating_sub(at))
     }
@@ -152,6 +157,7 @@
 /// A node's status, as it publishes it to the other components.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub struct NodeStatus {
+    /// The node, as last listed.
     pub entry: NodeEntry,
     /// Listed as ready.
     pub ready: bool,
@@ -170,11 +176,13 @@
 /// State of a rollout, as the controller reports it.
 #[derive(Clone, Copy)]
 pub struct RolloutStatus {
+    /// The build that is rolled out.
     pub build: Build,
+    /// Index of its stage.
     pub stage: usize,
-    /// Whether the build is on trial, released or rolled back.
+    /// Whether the build is on trial, released or (being) rolled back.
     pub state: RolloutState,
-    /// Exposure cap.
+    /// Exposure cap: the part of the RPCs that the build may get while on trial, from 0 to 1.
     pub cap: f64,
     /// When the stage was launched.
     pub launched: Duration,
@@ -185,7 +193,7 @@
     pub fn is_rolled_back(&self) -> bool {
         matches!(self.state, RolloutState::GoingBack | RolloutState::Withdrawn)
     }
-    /// Reads a stage event, with the reply to a vote that it carries.
+    /// Reads a stage event, with the reply to a vote that it carries; none for any other event.
     pub fn read(ctx: &Context, event: &Event) -> Option<(RolloutStatus, VoteReply)> {
         let &Event::Stage { build, stage, state, reply, cap, age } = event else { return None };
         Some((RolloutStatus { build, stage, state, cap, launched: ctx.now.saturating_sub(age) }, reply))
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -6,7 +6,8 @@
 
 use super::StatsTable;
 
-/// A two-bin histogram: the number of outcomes, and how many of them were good.
+/// A two-bin histogram: the number of outcomes, and how many of them were good. Both are fractional, as
+/// counts decay.
 #[derive(Clone, Copy, Default)]
 pub struct Tally {
     pub count: f64,
@@ -22,7 +23,7 @@
     pub fn add(&mut self, other: Tally, part: f64) {
         *self = Tally { count: self.count + part * other.count, good: self.good + part * other.good };
     }
-    /// The part of good outcomes.
+    /// The part of good outcomes, from 0 to 1; 0 without outcomes.
     pub fn mean(&self) -> f64 {
         self.good / self.count.max(1e-9)
     }
@@ -32,29 +33,30 @@
     }
 }
 
-/// Outcomes of the new and the old arm on one question.
+/// Outcomes of the new arm and of the older arm, in this order, on one question.
 pub type ArmPair = [Tally; 2];
 
-/// Adds `b` to `a`.
+/// Adds the tallies of `b` to those of `a`.
 pub fn add_pair(a: &mut ArmPair, b: &ArmPair) {
     a.iter_mut().zip(b).for_each(|(a, b)| a.add(*b, 1.0));
 }
 
-/// Statistics of one method: payoff, soundness (no error and no wrong answer reported), and latencies of ok
-/// answers in coarse bins.
+/// Statistics of the outcomes of one method: payoff (an ok answer in time), soundness (no error and no wrong
+/// answer reported), readable answers, and latencies of ok answers in coarse bins.
 #[derive(Clone, Copy, Default)]
 pub struct OutcomeStats {
-    /// Ok answers within the soft deadline.
+    /// All outcomes; good are ok answers within the soft deadline.
     pub payoff: Tally,
-    /// Answers without an error, and not reported as wrong.
+    /// Readable answers; good are those without an error and not reported as wrong.
     pub soundness: Tally,
-    /// Answers that could be read.
+    /// All answers; good are those that could be read.
     pub readable: Tally,
-    /// Ok answers by latency bin, see [`latency_bin`].
+    /// Number of ok answers by latency bin, see [`latency_bin`].
     pub latencies: [f64; 16],
 }
 
 impl OutcomeStats {
+    /// Statistics without outcomes.
     pub const EMPTY: OutcomeStats = {
         let none = Tally { count: 0.0, good: 0.0 };
         OutcomeStats { payoff: none, soundness: none, readable: none, latencies: [0.0; 16] }
@@ -66,11 +68,12 @@
         self.readable.add(other.readable, part);
         self.latencies.iter_mut().zip(other.latencies).for_each(|(a, b)| *a += part * b);
     }
-    /// Number of missed outcomes, of soundness and of payoff.
+    /// Number of outcomes that were not good, for soundness and for payoff together.
     pub fn misses(&self) -> f64 {
         self.soundness.missed() + self.payoff.missed()
     }
-    /// The bin by which the given part of the answers had come; none for fewer than `least` answers.
+    /// The first bin up to which at least this part of the answers lies (a quantile of the latency); none for
+    /// fewer than `least` answers.
     pub fn quantile_bin(&self, part: f64, least: f64) -> Option<usize> {
         let (all, mut sum) = (self.latencies.iter().sum::<f64>(), 0.0);
         let passed = |t: &f64| {
@@ -79,14 +82,15 @@
         };
         self.latencies.iter().position(passed).filter(|_| all >= least)
     }
-    /// Adds a latency to a histogram of about the latest `most` answers.
+    /// Counts a latency in its bin. Beyond `most` counts, all statistics are halved first, so that the
+    /// histogram holds about the latest `most`.
     pub fn add_latency(&mut self, bin: usize, most: f64) {
         if self.latencies.iter().sum::<f64>() > most {
             self.halve();
         }
         self.latencies[bin] += 1.0;
     }
-    /// Answers up to a bin, out of all.
+    /// All answers; good are those up to and including a bin.
     pub fn up_to(&self, edge: usize) -> Tally {
         Tally { count: self.latencies.iter().sum(), good: self.latencies[..=edge].iter().sum() }
     }
@@ -97,7 +101,7 @@
         self.payoff.count =
             if young { self.payoff.count } else { (self.payoff.count - 1.0).max(self.payoff.good) };
     }
-    /// Clears payoff and latencies.
+    /// Clears what depends on latency: payoff and the latency bins.
     pub fn clear_lateness(&mut self) {
         *self =
             OutcomeStats { soundness: self.soundness, readable: self.readable, ..OutcomeStats::default() };
@@ -114,8 +118,9 @@
     }
 }
 
-/// The bin of a latency, given as a part of the soft deadline. Bins grow by half powers of two; the last but
-/// two ends at the soft deadline.
+/// The bin, from 0 to 15, of a latency given as a part of the soft deadline. Each bin ends at √2 times its
+/// start; bin 12 ends at the soft deadline. Bin 0 also takes all shorter latencies, and bin 15 all longer
+/// ones.
 pub fn latency_bin(part: f64) -> usize {
     (part.max(1e-9).log2() * 2.0 + 13.0).clamp(0.0, 15.0) as usize
 }
@@ -131,29 +136,32 @@
 /// Sums over a node's methods, cached until one changes.
 #[derive(Clone, Copy)]
 struct StatsTotals {
-    /// Number of missed outcomes, of soundness and of payoff.
+    /// Number of outcomes that were not good, for soundness and for payoff together.
     misses: f64,
-    /// Soundness and payoff of all methods.
+    /// Soundness and payoff of all methods, in this order; not a pair of arms.
     soundness_and_payoff: ArmPair,
-    /// The node has had outcomes.
+    /// The record has outcomes.
     used: bool,
 }
 
 /// Methods and slots whose statistics have changed since the last sum over the arm.
 #[derive(Clone, Default)]
 pub enum Changes {
+    /// Any of them may have changed.
     #[default]
     All,
+    /// These pairs of method and slot have changed; repeats are possible.
     Listed(Vec<(usize, usize)>),
 }
 
-/// Number of changes that are listed singly; beyond it everything counts as changed.
+/// Maximum number of changes that are listed singly; beyond it everything counts as changed.
 const MAX_LISTED_CHANGES: usize = 64;
 
 /// Evidence on one process of a node: statistics for each method that has had an outcome there, none for the
 /// others.
 #[derive(Clone, Default)]
 pub struct NodeRecord {
+    /// The node, as last listed, with its kind limited to the configured ones.
     pub entry: NodeEntry,
     /// Listed as ready.
     pub ready: bool,
@@ -238,15 +246,15 @@
         self.totals.set(Some(totals));
         totals
     }
-    /// Number of missed outcomes over all methods, of soundness and of payoff.
+    /// Number of outcomes over all methods that were not good, for soundness and for payoff together.
     pub fn misses(&self) -> f64 {
         self.totals().misses
     }
-    /// Soundness and payoff of all methods.
+    /// Soundness and payoff of all methods, in this order; not a pair of arms.
     pub fn soundness_and_payoff(&self) -> ArmPair {
         self.totals().soundness_and_payoff
     }
-    /// Whether the node has had outcomes.
+    /// Whether the record has outcomes.
     pub fn used(&self) -> bool {
         self.totals().used
     }
@@ -259,6 +267,7 @@
         let entry = self.find(method).ok().map(|at| &self.methods[at]);
         entry.into_iter().for_each(|l| sums.add(self.entry.kind, l.slot, &l.stats));
     }
+    /// Bytes allocated for statistics.
     pub fn bytes(&self) -> usize {
         self.methods.capacity() * size_of::<MethodStats>()
     }
--- a/crates/policy/src/state/peer_counts.rs
+++ b/crates/policy/src/state/peer_counts.rs
@@ -6,9 +6,9 @@
 /// between marshals 256 bytes (14 methods) fit. With more questions nothing is encoded.
 pub const MAX_QUESTIONS: usize = (u16::MAX as usize - 4) / 8;
 
-/// Encodes counts for peers as u16 words: the build, then whether this marshal abstains from it and the
-/// level, then four counts per question. Large counts are scaled down together. Losing or repeating a message
-/// does no harm.
+/// Encodes counts for peers as little-endian u16 words: the build, then whether this marshal abstains from it
+/// (lowest bit) and the level, then four counts per question: all and good outcomes, of the new arm and of
+/// the older arm. Large counts are scaled down together. Losing or repeating a message does no harm.
 pub fn encode_counts(build: Build, abstains: bool, level: u32, pairs: &[ArmPair]) -> Vec<u8> {
     let counts = || pairs.iter().flatten().flat_map(|t| [t.count, t.good]);
     let scale = (65535.0 / counts().fold(1.0, f64::max)).min(1.0);
@@ -17,7 +17,8 @@
     words.flat_map(u16::to_le_bytes).collect()
 }
 
-/// Decodes the build, whether the sender abstains from it, the level, and the pairs.
+/// Decodes the build, whether the sender abstains from it, the level, and the pairs; none if even the build
+/// and the level are missing.
 pub fn decode_counts(text: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
     let words: Vec<u16> = text.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
     let [build, head, counts @ ..] = &words[..] else { return None };
@@ -26,14 +27,14 @@
     Some(((*build).into(), head % 2 != 0, (head / 2).into(), pairs.collect()))
 }
 
-/// Number of marshals in a ring, and number of levels, for nested rings that cover all marshals: as few
-/// levels as let each marshal send to few others.
+/// Number of marshals in a ring, and number of levels, for nested rings that cover about all marshals: as few
+/// levels as keep a ring within `most` marshals.
 pub fn ring_layout(config: &Config, most: usize) -> (usize, u32) {
     let levels = ((config.marshals.ln() / (most as f64).ln()).ceil()).max(1.0);
     ((config.marshals.powf(1.0 / levels) + 1e-6) as usize, levels as u32)
 }
 
-/// Describes a question with the counts of both arms, for the log: new arm first, good outcomes of all.
+/// Describes a question for the log, as good/all outcomes of the new arm beside those of the older arm.
 pub fn describe_pair(question: usize, [new, old]: &ArmPair) -> String {
     let (n, o) = ((new.good, new.count), (old.good, old.count));
     format!(", question {question}: {:.0}/{:.0} beside {:.0}/{:.0}", n.0, n.1, o.0, o.1)
--- a/crates/policy/src/state/stats_table.rs
+++ b/crates/policy/src/state/stats_table.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// The observed methods in ascending order, each with a slot. A slot is assigned at first sight and never
-/// changes, so that records survive a new config. Methods without traffic have none.
+/// The observed methods in ascending order, each with a slot, its index in vectors that have room for
+/// observed methods only. A slot is assigned when the method is first observed and never changes, so that
+/// records survive a new config. Methods without traffic have none.
 #[derive(Default)]
 pub struct ObservedMethods(Vec<(usize, usize)>);
 
@@ -46,6 +47,7 @@
         let by_method = |from: usize| self.iter().map(move |(method, _)| from + method);
         [0].into_iter().chain(by_method(1)).chain([known + 1, known + 2]).chain(by_method(known + 3))
     }
+    /// Bytes allocated for the list.
     pub fn bytes(&self) -> usize {
         self.0.capacity() * size_of::<(usize, usize)>()
     }
@@ -54,6 +56,7 @@
 /// Statistics by node kind and by slot of the observed methods.
 #[derive(Clone, Default)]
 pub struct StatsTable {
+    /// By kind, then by slot.
     by_kind: Vec<Vec<OutcomeStats>>,
     /// Incremented by each change; at 0 nothing has been added.
     version: u64,
@@ -77,9 +80,11 @@
         }
         by_slot[slot].add(stats, 1.0);
     }
+    /// All entries, by kind, then by slot.
     pub fn iter(&self) -> impl Iterator<Item = &OutcomeStats> {
         self.by_kind.iter().flatten()
     }
+    /// All entries for changes; counts as a change of the table.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OutcomeStats> {
         self.version += 1;
         self.by_kind.iter_mut().flatten()
@@ -93,12 +98,13 @@
         self.version += 1;
         self.by_kind.truncate(kinds);
     }
-    /// Copies one method's entries from another table.
+    /// Overwrites one method's entries with those of another table.
     fn copy_slot(&mut self, slot: usize, other: &StatsTable) {
         for (kind, by_slot) in self.by_kind.iter_mut().enumerate() {
             by_slot.get_mut(slot).into_iter().for_each(|stats| *stats = *other.get(kind, slot));
         }
     }
+    /// Bytes allocated for entries.
     pub fn bytes(&self) -> usize {
         self.by_kind.iter().map(|by_slot| by_slot.capacity() * size_of::<OutcomeStats>()).sum()
     }
@@ -109,10 +115,11 @@
 /// on the order.
 #[derive(Default)]
 pub struct ArmStats {
+    /// The base table plus the records of `nodes`.
     pub sums: StatsTable,
     /// The nodes included, in order.
     nodes: Vec<NodeIx>,
-    /// Version of the base table; none before the first sum.
+    /// Version of the base table at the last sum; none before the first.
     base: Option<u64>,
 }
 
@@ -142,6 +149,7 @@
         records.iter().for_each(|record| record.add_to(&mut self.sums));
         (self.nodes, self.base) = (records.iter().map(|b| b.entry.node).collect(), Some(base.version));
     }
+    /// Bytes allocated for sums and node indices.
     pub fn bytes(&self) -> usize {
         self.sums.bytes() + self.nodes.capacity() * size_of::<NodeIx>()
     }
--- a/crates/policy/src/state/util.rs
+++ b/crates/policy/src/state/util.rs
@@ -15,7 +15,7 @@
     times.map_or(0, |t| t.iter().rev().take_while(|&&at| at + window > now).count()) as f64
 }
 
-/// A node's relative capacity, 1 where unknown.
+/// A node's full capacity in relation to other nodes; 1 where unknown.
 pub fn power(entry: &NodeEntry) -> f64 {
     if entry.power > 0.0 {
         entry.power
@@ -24,7 +24,7 @@
     }
 }
 
-/// Pseudorandom number: the hash of a seed and a counter.
+/// Pseudorandom number: the hash of a seed and of the number of a draw.
 pub fn random_u64(seed: u64, draw: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (seed, draw).hash(&mut hasher);
@@ -46,7 +46,7 @@
     Duration::from_secs_f64(s.max(0.0))
 }
 
-/// Whether two nodes share tokens in a group of this scope.
+/// Whether two nodes share tokens, and so recognize one another's repeats, in a group of this scope.
 pub fn same_group(group: Group, a: &NodeEntry, b: &NodeEntry) -> bool {
     match group {
         Group::All => true,
