--- a/crates/policy/src/policy/discovery_client.rs
+++ b/crates/policy/src/policy/discovery_client.rs
@@ -85,8 +85,11 @@
             );
         }
         let part = 0.5 + 0.5 * random_unit(ctx.config.seed, ctx.now.as_nanos() as u64);
-        let doubled = self.failures.min(MAX_BACKOFF_FAILURES) as i32 - 1;
-        Self::limited_delay(UNQUEUED_RETRY_PAUSES * pause * UNQUEUED_RETRY_GROWTH.powi(doubled) * part, ctx)
+        let growth_steps = self.failures.min(MAX_BACKOFF_FAILURES) as i32 - 1;
+        Self::limited_delay(
+            UNQUEUED_RETRY_PAUSES * pause * UNQUEUED_RETRY_GROWTH.powi(growth_steps) * part,
+            ctx,
+        )
     }
 
     /// Whether no call has been made and no node is known from before, so that there is nothing to serve with
@@ -101,9 +104,9 @@
     }
 
     /// A random delay in this range of seconds.
-    fn random_delay([least, most]: [f64; 2], ctx: &Context) -> Duration {
+    fn random_delay([min_secs, max_secs]: [f64; 2], ctx: &Context) -> Duration {
         let part = random_unit(ctx.config.seed, ctx.now.as_nanos() as u64);
-        Self::limited_delay(least + (most - least) * part, ctx)
+        Self::limited_delay(min_secs + (max_secs - min_secs) * part, ctx)
     }
 
     /// A delay of this many seconds, limited to half of the longest allowed time without a call.
--- a/crates/policy/src/policy/dispatcher.rs
+++ b/crates/policy/src/policy/dispatcher.rs
@@ -45,20 +45,20 @@
                 self.rpcs.insert(rpc, Rpc { method, key, soft_deadline, deadline, rank, ..Rpc::default() });
                 // Where the build's nodes replaced earlier ones, the remaining nodes must not get more load
                 // during an abstention, or the test would show only that: the build's part is pushed back.
-                self.withheld += if self.abstaining && ctx.config.rehearsal_stage.is_none() {
+                self.pushback_credit += if self.abstaining && ctx.config.rehearsal_stage.is_none() {
                     self.newest_part()
                 } else {
                     0.0
                 };
-                if shed || self.withheld >= 1.0 {
-                    self.withheld -= if shed { 0.0 } else { 1.0 };
+                if shed || self.pushback_credit >= 1.0 {
+                    self.pushback_credit -= if shed { 0.0 } else { 1.0 };
                     self.reject(rpc, ctx);
                 } else {
                     self.send_or_queue(rpc, ctx);
                 }
             }
             Message::Event(Event::PickEnded { rpc, pick, node, outcome, took, done, .. }) => {
-                self.oks += f64::from(u8::from(outcome == Outcome::Ok));
+                self.ok_answers += f64::from(u8::from(outcome == Outcome::Ok));
                 let NodeEntry { build, kind, zone, .. } = self.statuses[node].entry;
                 let failed = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::NoConnection);
                 if failed || outcome == Outcome::Ok {
@@ -130,11 +130,11 @@
                 let step = (ctx.now - self.rate_updated_at).as_secs_f64().min(OK_RATE_WINDOW_SECS);
                 // If nothing could be sent, nothing was learned; otherwise a fleet of cold nodes only would
                 // stay blocked.
-                if self.occupied(ctx) + self.oks > 0.0 || !std::mem::take(&mut self.blocked) {
+                if self.occupied(ctx) + self.ok_answers > 0.0 || !std::mem::take(&mut self.blocked) {
                     self.send_rules.ok_rate_per_power += step / OK_RATE_WINDOW_SECS
-                        * (self.oks / step / power - self.send_rules.ok_rate_per_power);
+                        * (self.ok_answers / step / power - self.send_rules.ok_rate_per_power);
                 }
-                (self.oks, self.rate_updated_at, self.lists_stale) = (0.0, ctx.now, true);
+                (self.ok_answers, self.rate_updated_at, self.lists_stale) = (0.0, ctx.now, true);
                 let released = self.send_rules.rollout.is_some_and(|n| n.state == RolloutState::Released);
                 if released && self.arms[0].is_empty() && self.send_rules.key_builds.len() > MAX_RECORDED_KEYS
                 {
--- a/crates/policy/src/policy/list_lease.rs
+++ b/crates/policy/src/policy/list_lease.rs
@@ -20,18 +20,18 @@
 impl ListLease {
     /// Applies a new config.
     pub fn configure(&mut self, rules: &RuleConfig) {
-        (self.rollout_config, self.drain_grace) = (rules.list_lease, rules.drain_grace);
+        (self.bounds, self.drain_grace) = (rules.list_lease, rules.drain_grace);
     }
 
     /// Whether the list's validity is bounded.
     pub fn is_bounded(&self) -> bool {
-        self.rollout_config.is_some()
+        self.bounds.is_some()
     }
 
     /// Whether the list may be used for new work now.
     pub fn is_valid(&self, now: Duration) -> bool {
         let in_outage = self.outage.is_some_and(|outage| now < outage.since + MAX_OUTAGE);
-        self.rollout_config.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
+        self.bounds.is_none() || in_outage || self.valid_until.is_some_and(|until| now < until)
     }
 
     /// Called at each call of `handle`; the first one starts the lease as expired. How long the process was
@@ -44,10 +44,10 @@
     }
 
     /// Updates the lease by what a call to discovery revealed.
-    pub fn observe(&mut self, now: Duration, sign: DiscoverySignal) {
-        let (Some(rollout_config), Some(until)) = (self.rollout_config, self.valid_until) else { return };
-        let delivery = rollout_config.delivered_within;
-        self.valid_until = Some(match sign {
+    pub fn observe(&mut self, now: Duration, signal: DiscoverySignal) {
+        let (Some(bounds), Some(until)) = (self.bounds, self.valid_until) else { return };
+        let delivery = bounds.delivered_within;
+        self.valid_until = Some(match signal {
             DiscoverySignal::Confirmed { as_of, .. } => {
                 self.outage = None;
                 self.expiry(as_of, delivery)
@@ -76,7 +76,7 @@
             }
             DiscoverySignal::Reloaded => {
                 self.outage = None;
-                until.min(self.expiry(now, rollout_config.delivered_after_reload))
+                until.min(self.expiry(now, bounds.delivered_after_reload))
             }
         });
     }
--- a/crates/policy/src/policy/node_selection.rs
+++ b/crates/policy/src/policy/node_selection.rs
@@ -35,7 +35,7 @@
         let whole = if rehearsing { new.max(old) } else { new + old };
         // A build that gets no traffic accrues no credit: many marshals would spend it all at once.
         let share = if self.abstaining { 0.0 } else { new / whole.max(1e-9) };
-        let subset_size = (self.arrivals[0] / self.arrivals[1].max(1.0) * ctx.config.idle_kept_secs
+        let subset_size = (self.arrivals[0] / self.arrivals[1].max(1.0) * ctx.config.idle_timeout_secs
             / PICKS_PER_IDLE_TIME)
             .max(MIN_SUBSET_NODES);
         let mostly_ejected = 5 * self.ejected >= 4 * all;
--- a/crates/policy/src/policy/send_rules.rs
+++ b/crates/policy/src/policy/send_rules.rs
@@ -26,8 +26,8 @@
 
     /// Rule 2: whether the RPC may be sent to this node after its earlier picks.
     pub fn may_repeat(&self, ctx: &Context, rpc: &Rpc, entry: &NodeEntry) -> bool {
-        let barred = rpc.streaming || rpc.picks.len() >= ctx.config.most_picks;
-        if barred || (!ctx.config.second_copies && rpc.picks.iter().any(|p| p.in_flight)) {
+        let barred = rpc.streaming || rpc.picks.len() >= ctx.config.max_picks;
+        if barred || (!ctx.config.hedging && rpc.picks.iter().any(|p| p.in_flight)) {
             return false;
         }
         let mut ran = rpc.picks.iter().filter(|p| !p.never_ran).peekable();
--- a/crates/policy/src/state/config.rs
+++ b/crates/policy/src/state/config.rs
@@ -13,9 +13,9 @@
     /// Limits on the traffic of a build on trial.
     pub exposure: ExposureParams,
     /// Maximum picks per RPC.
-    pub most_picks: usize,
+    pub max_picks: usize,
     /// An RPC may have more than one pick in flight.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Upper bound of the retry-after time in a push-back; none where clients are not told such a time.
     pub retry_after: Option<Duration>,
     /// Part of its full capacity that a node has right after its start, from 0 to 1.
@@ -64,7 +64,7 @@
     /// This marshal's index divided by the number of marshals, from 0 to below 1.
     pub phase: f64,
     /// Seconds after which an idle connection is closed.
-    pub idle_kept_secs: f64,
+    pub idle_timeout_secs: f64,
     /// Number of marshals, at least 1.
     pub marshals: f64,
     /// The same as an integer.
@@ -125,8 +125,8 @@
             min_soft_secs: methods.iter().map(|m| m.soft_secs).fold(f64::INFINITY, f64::min),
             methods,
             exposure: ExposureParams { first_cap, window, free, guarded_stages, one_way },
-            most_picks: limits.max_picks,
-            second_copies: limits.hedging,
+            max_picks: limits.max_picks,
+            hedging: limits.hedging,
             retry_after: limits.retry_after,
             cold_start_part: rules.cold_start_part,
             warm_up: rules.warm_up,
@@ -151,7 +151,7 @@
             seed: rollout_config.seed,
             phase: rollout_config.marshal as f64 / marshals,
             marshals,
-            idle_kept_secs: limits.idle_timeout.as_secs_f64(),
+            idle_timeout_secs: limits.idle_timeout.as_secs_f64(),
             marshal_count: rollout_config.marshals.max(1),
             marshal: rollout_config.marshal,
         }
--- a/crates/policy/src/state/discovery_client.rs
+++ b/crates/policy/src/state/discovery_client.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub struct ListLease {
     /// The bounds on the list's validity. None: the list is valid forever.
-    pub rollout_config: Option<ListLeaseConfig>,
+    pub bounds: Option<ListLeaseConfig>,
     /// How long a node may still be sent to once it counts as announced to be draining.
     pub drain_grace: Duration,
     /// End of the lease; none before the first event, or where the list's validity was never bounded.
--- a/crates/policy/src/state/dispatcher.rs
+++ b/crates/policy/src/state/dispatcher.rs
@@ -133,10 +133,10 @@
     }
     /// Bytes allocated for the timestamps of received RPCs and of sends.
     pub fn bytes(&self) -> usize {
-        let held =
+        let bytes_of =
             |times: &Times| size_of::<(Build, usize, Times)>() + times.capacity() * size_of::<Duration>();
-        let by_method = self.received.values().chain(self.sent.values()).map(held).sum::<usize>();
-        by_method + self.sent_by_node.values().map(held).sum::<usize>()
+        let by_method = self.received.values().chain(self.sent.values()).map(bytes_of).sum::<usize>();
+        by_method + self.sent_by_node.values().map(bytes_of).sum::<usize>()
     }
     /// Drops all timestamps before `before`, and entries left empty.
     pub fn prune(&mut self, before: Duration) {
@@ -192,13 +192,13 @@
     pub abstaining: bool,
     /// Accumulated number of RPCs to push back during an abstention, where the older arm cannot take the new
     /// build's part. At 1 the next RPC is pushed back.
-    pub withheld: f64,
+    pub pushback_credit: f64,
     /// Retry budget, in picks.
     pub retry_budget: f64,
     /// Moving average of the latency of ok picks by method, in seconds.
     pub method_latency: Vec<f64>,
     /// Ok answers since `rate_updated_at`.
-    pub oks: f64,
+    pub ok_answers: f64,
     /// When the rate of ok answers was last updated.
     pub rate_updated_at: Duration,
     /// An RPC could not be sent at once since the last update.
--- a/crates/policy/src/state/messages.rs
+++ b/crates/policy/src/state/messages.rs
@@ -115,8 +115,8 @@
             Event::Nodes { update, nodes } => {
                 // Nodes missing from a complete list are gone.
                 let complete = matches!(update, ListUpdate::Full | ListUpdate::Cached);
-                let entries_named: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
-                let missing = |e: &&NodeEntry| complete && !entries_named.contains(&e.node);
+                let named_nodes: BTreeSet<NodeIx> = nodes.iter().map(|n| n.node).collect();
+                let missing = |e: &&NodeEntry| complete && !named_nodes.contains(&e.node);
                 let listed = self.listed.values().filter(missing);
                 let gone = listed.map(|e| NodeEntry { readiness: Readiness::Gone, ..*e });
                 for entry in gone.chain(nodes.iter().copied()).collect::<Vec<_>>() {
@@ -127,8 +127,8 @@
                 }
                 DISCOVERY_CLIENT
             }
-            Event::Discovery(sign) => {
-                self.lease.observe(self.now, *sign);
+            Event::Discovery(signal) => {
+                self.lease.observe(self.now, *signal);
                 DISCOVERY_CLIENT
             }
             Event::ListCoverage(coverage) => {
--- a/crates/policy/src/state/outcome_stats.rs
+++ b/crates/policy/src/state/outcome_stats.rs
@@ -91,8 +91,8 @@
         self.latencies[bin] += 1.0;
     }
     /// All answers; good are those up to and including a bin.
-    pub fn up_to(&self, edge: usize) -> Tally {
-        Tally { count: self.latencies.iter().sum(), good: self.latencies[..=edge].iter().sum() }
+    pub fn up_to(&self, bin: usize) -> Tally {
+        Tally { count: self.latencies.iter().sum(), good: self.latencies[..=bin].iter().sum() }
     }
     /// Takes back an error that neither the node nor its build caused. `young`: it was not counted for
     /// payoff.
--- a/crates/policy/src/state/peer_counts.rs
+++ b/crates/policy/src/state/peer_counts.rs
@@ -19,8 +19,8 @@
 
 /// Decodes the build, whether the sender abstains from it, the level, and the pairs; none if even the build
 /// and the level are missing.
-pub fn decode_counts(text: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
-    let words: Vec<u16> = text.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
+pub fn decode_counts(payload: &[u8]) -> Option<(Build, bool, u32, Vec<ArmPair>)> {
+    let words: Vec<u16> = payload.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
     let [build, head, counts @ ..] = &words[..] else { return None };
     let tally = |n: u16, good: u16| Tally { count: n.into(), good: good.min(n).into() };
     let pairs = counts.chunks_exact(4).map(|w| [tally(w[0], w[1]), tally(w[2], w[3])]);
@@ -28,9 +28,9 @@
 }
 
 /// Number of marshals in a ring, and number of levels, for nested rings that cover about all marshals: as few
-/// levels as keep a ring within `most` marshals.
-pub fn ring_layout(config: &Config, most: usize) -> (usize, u32) {
-    let levels = ((config.marshals.ln() / (most as f64).ln()).ceil()).max(1.0);
+/// levels as keep a ring within `max_ring_size` marshals.
+pub fn ring_layout(config: &Config, max_ring_size: usize) -> (usize, u32) {
+    let levels = ((config.marshals.ln() / (max_ring_size as f64).ln()).ceil()).max(1.0);
     ((config.marshals.powf(1.0 / levels) + 1e-6) as usize, levels as u32)
 }
 
