--- a/crates/client/src/coroutine.rs
+++ b/crates/client/src/coroutine.rs
@@ -23,7 +23,7 @@
 ///     .marshal("127.0.0.1:7100".parse()?)
 ///     .method("calendar-read", Kind::Idempotent, Duration::from_secs(3))
 ///     .build_for_coroutines()?;
-/// ivydrift_sockets::coroutine::go(move || {
+/// ivydrift_sockets::coroutine::spawn(move || {
 ///     let read = channel.call(Call::new("calendar-read", b"street=12"));
 ///     println!("{read:?}");
 /// });
